--- a/logic/symptoms_test.go
+++ b/logic/symptoms_test.go
@@ -22,16 +22,16 @@
 // seenBy are gateways that learn of hosts in ways that have little in common, few and many.
 var seenBy = []struct {
 	name     string
-	from     logic.Sources
+	from     logic.InformationSources
 	fields   string
 	gateways int
 }{
-	{"few, probed", logic.Sources{Probes: true}, "held waiting", 4},
-	{"few, told, probed", logic.Sources{Tells: true, Probes: true}, "held waiting", 4},
-	{"many, blind", logic.Sources{}, "", 40},
-	{"many, live sizes", logic.Sources{Sizes: logic.LiveSizes}, "", 40},
-	{"many, reported held", logic.Sources{Reports: true, Held: true, MayProbe: true}, "held busy", 40},
-	{"many, reported queue", logic.Sources{Reports: true}, "waiting rate", 40},
+	{"few, probed", logic.InformationSources{ProbesReportLoad: true}, "held waiting", 4},
+	{"few, told, probed", logic.InformationSources{PeersShareInFlight: true, ProbesReportLoad: true}, "held waiting", 4},
+	{"many, blind", logic.InformationSources{}, "", 40},
+	{"many, live sizes", logic.InformationSources{CapacityHints: logic.LiveCapacity}, "", 40},
+	{"many, reported held", logic.InformationSources{ResponsesReportLoad: true, ResponsesReportInFlight: true, ExtraProbesAllowed: true}, "held busy", 40},
+	{"many, reported queue", logic.InformationSources{ResponsesReportLoad: true}, "waiting rate", 40},
 }
 
 const (
@@ -40,19 +40,19 @@
 )
 
 // ended names the ends that tests cause.
-var ended = [...]string{logic.Error: "error", logic.TimedOut: "silence", logic.NoConnection: "refused", logic.Broken: "reset"}
+var ended = [...]string{logic.HopError: "error", logic.HopTimedOut: "silence", logic.HopNoConnection: "refused", logic.HopConnectionBroken: "reset"}
 
 // seenDay is the deployment without trouble.
 func seenDay(i int) deployment {
 	by := seenBy[i]
 	p := deployment{sources: by.name, from: by.from, fields: by.fields, gateways: by.gateways, zones: 2, hosts: 8, cores: 2, slots: 20, shares: true,
 		slowest: 1, work: "exponential", waits: 0.5, seed: uint64(i), length: 20 * time.Second, perSecond: 80,
-		price: logic.Price{Crossing: 0.02}, hops: logic.HopRule{Most: 3, CallOff: true, BackMost: time.Second},
+		price: logic.CostModel{CrossZoneHop: 0.02}, hops: logic.HopRule{MaxHops: 3, CallOff: true, MaxRetryAfter: time.Second},
 		profiles: []profileMix{
-			{Profile: logic.Profile{Name: "read", Effect: logic.Idempotent, Goal: 600 * ms, Revenue: 1, LateRevenue: 0.3}, share: 0.7, work: 50 * ms},
-			{Profile: logic.Profile{Name: "order", Effect: logic.NonIdempotent, Goal: 1200 * ms, Revenue: 3, LateRevenue: 0.3}, share: 0.3,
+			{Profile: logic.Profile{Name: "read", Effect: logic.Idempotent, ServiceGoal: 600 * ms, Revenue: 1, LateRevenueFraction: 0.3}, share: 0.7, work: 50 * ms},
+			{Profile: logic.Profile{Name: "order", Effect: logic.NonIdempotent, ServiceGoal: 1200 * ms, Revenue: 3, LateRevenueFraction: 0.3}, share: 0.3,
 				work: 100 * ms}}}
-	p.from.AskWithin = 10 * time.Second
+	p.from.MaxListPollInterval = 10 * time.Second
 	return p
 }
 
@@ -67,7 +67,7 @@
 func (d *day) playOut() *day { return d.play(d.length + 3*time.Second) }
 
 // inEach plays a day for each way to learn of hosts, without the trouble and with it; change makes both another deployment.
-func inEach(t *testing.T, only func(logic.Sources) bool, change func(*deployment), trouble func(*day), holds func(t *testing.T, calm, d *day)) {
+func inEach(t *testing.T, only func(logic.InformationSources) bool, change func(*deployment), trouble func(*day), holds func(t *testing.T, calm, d *day)) {
 	for i, by := range seenBy {
 		if only != nil && !only(by.from) {
 			continue
@@ -174,8 +174,8 @@
 	d.at(d.troubleTo(), to(1))
 }
 
-func reporting(from logic.Sources) bool {
-	return from.Probes || from.Reports || from.Sizes == logic.LiveSizes
+func reporting(from logic.InformationSources) bool {
+	return from.ProbesReportLoad || from.ResponsesReportLoad || from.CapacityHints == logic.LiveCapacity
 }
 
 // Reports that show too little, what was at the start, or nothing, while their hosts are twice as slow, must not draw the traffic there: a
@@ -183,18 +183,20 @@
 func TestReportsTooLow(t *testing.T) {
 	for _, report := range []struct {
 		name string
-		says func(logic.Load) logic.Load
+		says func(logic.LoadReport) logic.LoadReport
 	}{
-		{"low", func(l logic.Load) logic.Load {
-			return logic.Load{Held: 0.1 * l.Held, Waiting: 0.1 * l.Waiting, Busy: 0.1 * l.Busy, Rate: l.Rate, Took: 0.1 * l.Took}
+		{"low", func(l logic.LoadReport) logic.LoadReport {
+			return logic.LoadReport{InFlight: 0.1 * l.InFlight, Queued: 0.1 * l.Queued, Utilization: 0.1 * l.Utilization, RequestsPerSecond: l.RequestsPerSecond, LatencyMs: 0.1 * l.LatencyMs}
+		}},
+		{"none", func(logic.LoadReport) logic.LoadReport { return logic.LoadReport{} }},
+		{"stuck", func(logic.LoadReport) logic.LoadReport {
+			return logic.LoadReport{InFlight: 1, Utilization: 0.3, RequestsPerSecond: 10, LatencyMs: 75}
 		}},
-		{"none", func(logic.Load) logic.Load { return logic.Load{} }},
-		{"stuck", func(logic.Load) logic.Load { return logic.Load{Held: 1, Busy: 0.3, Rate: 10, Took: 75} }},
 	} {
 		t.Run(report.name, func(t *testing.T) {
 			inEach(t, reporting, nil, func(d *day) {
 				d.slowed(some, 2.5)
-				d.says = func(h *playedHost, l logic.Load) logic.Load {
+				d.says = func(h *playedHost, l logic.LoadReport) logic.LoadReport {
 					if d.troubled() && slices.Contains(some, h.ID) {
 						return report.says(l)
 					}
@@ -214,9 +216,9 @@
 
 func reportedFull(t *testing.T, ids []logic.HostID) {
 	inEach(t, reporting, nil, func(d *day) {
-		d.says = func(h *playedHost, l logic.Load) logic.Load {
+		d.says = func(h *playedHost, l logic.LoadReport) logic.LoadReport {
 			if d.troubled() && slices.Contains(ids, h.ID) {
-				return logic.Load{Held: 40, Waiting: 20, Busy: 1, Rate: 20, Took: 1500}
+				return logic.LoadReport{InFlight: 40, Queued: 20, Utilization: 1, RequestsPerSecond: 20, LatencyMs: 1500}
 			}
 			return l
 		}
@@ -234,12 +236,12 @@
 // Hosts that fail and recover by turns, each at times of its own, which no list shows: most transactions go elsewhere, few hops meet one
 // that is down, and between times such hosts may be used. Guards against trials that each bring the whole traffic back.
 func TestFlappingHosts(t *testing.T) {
-	for _, end := range []logic.End{logic.NoConnection, logic.Error} {
+	for _, end := range []logic.HopOutcome{logic.HopNoConnection, logic.HopError} {
 		t.Run(ended[end], func(t *testing.T) {
 			inEach(t, nil, func(p *deployment) {
-				p.profiles[orders].Effect, p.profiles[orders].Window = logic.Journalled, time.Second
+				p.profiles[orders].Effect, p.profiles[orders].DedupWindow = logic.Journalled, time.Second
 			}, func(d *day) {
-				d.fails = func(k *playedHop) (logic.End, bool) {
+				d.fails = func(k *playedHop) (logic.HopOutcome, bool) {
 					down := d.troubled() && slices.Contains(some, k.host.ID) && (d.now+time.Duration(k.host.ID)*700*ms)%(3*time.Second) < 1500*ms
 					return end, down
 				}
@@ -255,9 +257,9 @@
 // The look-alike: one blip of a fifth of a second at a host; it is used again at once, and no breaker bars it for seconds.
 func TestOneBlip(t *testing.T) {
 	inEach(t, nil, nil, func(d *day) {
-		d.fails = func(k *playedHop) (logic.End, bool) {
+		d.fails = func(k *playedHop) (logic.HopOutcome, bool) {
 			at := d.now - time.Second
-			return logic.Broken, k.host.ID == 1 && at >= troubleFrom && at < troubleFrom+200*ms
+			return logic.HopConnectionBroken, k.host.ID == 1 && at >= troubleFrom && at < troubleFrom+200*ms
 		}
 	}, func(t *testing.T, calm, d *day) {
 		served(t, "all", calm, d, nil, 0.02)
@@ -268,10 +270,10 @@
 // A profile that fails at half of the hosts, by errors or silence, goes to the others; the hosts go on serving the other profile. Guards
 // against a host barred for all as one profile fails there, and against a profile given up that others serve.
 func TestProfileFailsAtHalf(t *testing.T) {
-	for _, end := range []logic.End{logic.Error, logic.TimedOut} {
+	for _, end := range []logic.HopOutcome{logic.HopError, logic.HopTimedOut} {
 		t.Run(ended[end], func(t *testing.T) {
 			inEach(t, nil, func(p *deployment) { p.gateways, p.length = min(p.gateways, 24), 40*time.Second }, func(d *day) {
-				d.fails = func(k *playedHop) (logic.End, bool) {
+				d.fails = func(k *playedHop) (logic.HopOutcome, bool) {
 					return end, d.troubled() && k.profile == orders && slices.Contains(half, k.host.ID) && k.id%10 < 9
 				}
 			}, func(t *testing.T, calm, d *day) {
@@ -292,7 +294,7 @@
 	inEach(t, nil, change, func(d *day) {
 		d.drags = func(k *playedHop) time.Duration {
 			if d.troubled() && who(k.playedTx) {
-				return 3 * d.profiles[k.profile].Goal / 2
+				return 3 * d.profiles[k.profile].ServiceGoal / 2
 			}
 			return 0
 		}
--- a/tools/scale/fleet.go
+++ b/tools/scale/fleet.go
@@ -66,29 +66,31 @@
 	heap.Push(&f.due, dueEvent{f.now + d, f.seq, do})
 }
 
-func (m *member) Hop(id logic.TxID, host logic.HostID, _ time.Duration) {
+func (m *member) SendHop(id logic.TxID, host logic.HostID, _ time.Duration) {
 	if _, again := m.out[id]; again {
 		m.f.err = fmt.Errorf("a second hop though all are committed")
 	}
 	m.out[id] = host
 	m.f.in(hopTakes, func() {
 		delete(m.out, id)
-		m.HopEnded(m.f.now, id, 0, logic.Result{End: logic.Committed, Took: hopTakes, Load: logic.NoLoad}, true)
+		m.HopEnded(m.f.now, id, 0, logic.HopResult{Outcome: logic.HopCommitted, Latency: hopTakes, Load: logic.NoLoadReport}, true)
 		m.f.committed++
 	})
 }
 func (m *member) CallOff(logic.TxID, int)            {}
 func (m *member) RollBack(logic.TxID, time.Duration) {}
 func (m *member) Abandon(logic.TxID)                 {}
-func (m *member) Release(logic.HostID)               {}
-func (m *member) AskList()                           {}
+func (m *member) CloseIdleConnections(logic.HostID)  {}
+func (m *member) RequestHostList()                   {}
 func (m *member) Log(string)                         {}
 
 func (m *member) Probe(host logic.HostID) {
 	if m.f.counting {
 		m.f.probes++
 	}
-	m.f.in(onWay, func() { m.Probed(m.f.now, host, logic.Load{Held: 2, Waiting: 0, Busy: 0.3, Rate: -1, Took: -1}) })
+	m.f.in(onWay, func() {
+		m.ProbeEnded(m.f.now, host, logic.LoadReport{InFlight: 2, Queued: 0, Utilization: 0.3, RequestsPerSecond: -1, LatencyMs: -1})
+	})
 }
 
 func (m *member) SetTimer(in time.Duration) {
@@ -96,12 +98,12 @@
 	set := m.timer
 	m.f.in(in, func() {
 		if m.timer == set {
-			m.Timer(m.f.now)
+			m.TimerFired(m.f.now)
 		}
 	})
 }
 
-func (m *member) Tell(to int, held []logic.Held) {
+func (m *member) SendPeerMessage(to int, held []logic.PeerEntry) {
 	for msg := range m.f.codec.Messages(held) {
 		for i, other := range m.f.members {
 			if i != m.me && (to < 0 || i == to) {
@@ -123,7 +125,7 @@
 			m.f.err = err
 			return
 		}
-		to.Told(m.f.now, m.me, held)
+		to.PeerMessageReceived(m.f.now, m.me, held)
 	})
 }
 
@@ -139,16 +141,16 @@
 		f.members = append(f.members, &member{f: f, me: i, out: map[logic.TxID]logic.HostID{}})
 	}
 	for i, m := range f.members {
-		m.Balancer = logic.New(m, f.now, uint64(7+i), logic.Place{Gateways: gateways, Me: i, Zone: in[i%ofZones], Zones: in}, profiles(usualProfiles), nil,
-			logic.ColdRule{From: 0.25, WarmUp: 8 * time.Second, Multiple: 4, TipAfter: time.Second}, logic.DrainRule{},
-			logic.HopRule{Most: 3, BackMost: time.Second}, logic.Sources{Tells: true, Probes: true, AskWithin: 10 * time.Second}, logic.Price{Crossing: 0.05})
-		m.List(f.now, logic.Whole, all)
+		m.Balancer = logic.New(m, f.now, uint64(7+i), logic.Topology{GatewayCount: gateways, GatewayIndex: i, Zone: in[i%ofZones], Zones: in}, profiles(usualProfiles), nil,
+			logic.ColdHostRule{InitialCapacityFraction: 0.25, WarmUpDuration: 8 * time.Second, OverloadMultiple: 4, OverloadDuration: time.Second}, logic.DrainRule{},
+			logic.HopRule{MaxHops: 3, MaxRetryAfter: time.Second}, logic.InformationSources{PeersShareInFlight: true, ProbesReportLoad: true, MaxListPollInterval: 10 * time.Second}, logic.CostModel{CrossZoneHop: 0.05})
+		m.HostListReceived(f.now, logic.ListComplete, all)
 		id := logic.TxID(0)
 		var arrive func()
 		arrive = func() {
 			id++
 			f.taken++
-			m.Take(f.now, id, logic.Arrival{Tenant: -1, Budget: time.Second})
+			m.TransactionReceived(f.now, id, logic.Arrival{TenantIndex: -1, Budget: time.Second})
 			f.in(time.Second/time.Duration(perSecond), arrive)
 		}
 		f.in(time.Second/time.Duration(perSecond)*time.Duration(i)/time.Duration(gateways), arrive)
--- a/tools/scale/gateway.go
+++ b/tools/scale/gateway.go
@@ -20,15 +20,15 @@
 
 // What gateways learn of hosts, beside the ends of their own hops.
 var (
-	told    = logic.Sources{Held: true, Reports: true, MayProbe: true} // answers say what hosts hold
-	reports = logic.Sources{Reports: true}                             // answers say how hosts are loaded
-	blind   = logic.Sources{}                                          // nothing
+	told    = logic.InformationSources{ResponsesReportInFlight: true, ResponsesReportLoad: true, ExtraProbesAllowed: true} // answers say what hosts hold
+	reports = logic.InformationSources{ResponsesReportLoad: true}                                                          // answers say how hosts are loaded
+	blind   = logic.InformationSources{}                                                                                   // nothing
 )
 
 func profiles(n int) []logic.Profile {
 	all := make([]logic.Profile, n)
 	for i := range all {
-		all[i] = logic.Profile{Name: fmt.Sprintf("profile-%05d", i), Effect: logic.Idempotent, Goal: 400 * time.Millisecond, Revenue: 1}
+		all[i] = logic.Profile{Name: fmt.Sprintf("profile-%05d", i), Effect: logic.Idempotent, ServiceGoal: 400 * time.Millisecond, Revenue: 1}
 	}
 	return all
 }
@@ -36,7 +36,7 @@
 func tenants(n int) []logic.Tenant {
 	all := make([]logic.Tenant, n)
 	for i := range all {
-		all[i] = logic.Tenant{Name: fmt.Sprintf("tenant-%06d", i), Quota: 100}
+		all[i] = logic.Tenant{Name: fmt.Sprintf("tenant-%06d", i), QuotaPerSecond: 100}
 	}
 	return all
 }
@@ -53,7 +53,7 @@
 func hosts(n, zoned int) []logic.Host {
 	in, all := zones(zoned), make([]logic.Host, n)
 	for i := range all {
-		all[i] = logic.Host{ID: logic.HostID(i + 1), Zone: in[i%zoned], Kind: fmt.Sprintf("kind-%d", i%5), Cell: i % 97, State: logic.Ready, Size: 1}
+		all[i] = logic.Host{ID: logic.HostID(i + 1), Zone: in[i%zoned], Kind: fmt.Sprintf("kind-%d", i%5), Cell: i % 97, State: logic.HostReady, CapacityHint: 1}
 	}
 	return all
 }
@@ -65,33 +65,33 @@
 	sent, back, probes int
 }
 
-func newGateway(among int, from logic.Sources, profiles []logic.Profile, tenants []logic.Tenant) *gateway {
+func newGateway(among int, from logic.InformationSources, profiles []logic.Profile, tenants []logic.Tenant) *gateway {
 	g := &gateway{now: time.Hour}
-	from.AskWithin = 10 * time.Second
-	g.Balancer = logic.New(g, g.now, 7, logic.Place{Gateways: among, Zone: "zone-00", Zones: zones(target["zones"])}, profiles, tenants,
-		logic.ColdRule{From: 0.25, WarmUp: 8 * time.Second, Multiple: 4, TipAfter: time.Second}, logic.DrainRule{},
-		logic.HopRule{Most: 3, BackMost: time.Second}, from, logic.Price{Crossing: 0.05})
+	from.MaxListPollInterval = 10 * time.Second
+	g.Balancer = logic.New(g, g.now, 7, logic.Topology{GatewayCount: among, Zone: "zone-00", Zones: zones(target["zones"])}, profiles, tenants,
+		logic.ColdHostRule{InitialCapacityFraction: 0.25, WarmUpDuration: 8 * time.Second, OverloadMultiple: 4, OverloadDuration: time.Second}, logic.DrainRule{},
+		logic.HopRule{MaxHops: 3, MaxRetryAfter: time.Second}, from, logic.CostModel{CrossZoneHop: 0.05})
 	return g
 }
 
 // atTarget is a gateway of the target's fleet.
-func atTarget(from logic.Sources, profiles []logic.Profile, tenants []logic.Tenant, hosts []logic.Host) *gateway {
+func atTarget(from logic.InformationSources, profiles []logic.Profile, tenants []logic.Tenant, hosts []logic.Host) *gateway {
 	g := newGateway(target["gateways"], from, profiles, tenants)
-	g.List(g.now, logic.Whole, hosts)
+	g.HostListReceived(g.now, logic.ListComplete, hosts)
 	return g
 }
 
-func (g *gateway) Hop(logic.TxID, logic.HostID, time.Duration) { g.sent++ }
+func (g *gateway) SendHop(logic.TxID, logic.HostID, time.Duration) { g.sent++ }
 
-func (g *gateway) CallOff(logic.TxID, int)            {}
-func (g *gateway) RollBack(logic.TxID, time.Duration) { g.back++ }
-func (g *gateway) Abandon(logic.TxID)                 { g.back++ }
-func (g *gateway) Probe(logic.HostID)                 { g.probes++ }
-func (g *gateway) Release(logic.HostID)               {}
-func (g *gateway) Tell(int, []logic.Held)             {}
-func (g *gateway) AskList()                           {}
-func (g *gateway) SetTimer(in time.Duration)          { g.due = g.now + in }
-func (g *gateway) Log(string)                         {}
+func (g *gateway) CallOff(logic.TxID, int)                {}
+func (g *gateway) RollBack(logic.TxID, time.Duration)     { g.back++ }
+func (g *gateway) Abandon(logic.TxID)                     { g.back++ }
+func (g *gateway) Probe(logic.HostID)                     { g.probes++ }
+func (g *gateway) CloseIdleConnections(logic.HostID)      {}
+func (g *gateway) SendPeerMessage(int, []logic.PeerEntry) {}
+func (g *gateway) RequestHostList()                       {}
+func (g *gateway) SetTimer(in time.Duration)              { g.due = g.now + in }
+func (g *gateway) Log(string)                             {}
 
 // toDue goes to the next of the module's own seconds, whose work comes with the call of Timer that is left to do.
 func (g *gateway) toDue() {
@@ -103,7 +103,7 @@
 	*gateway
 	id   logic.TxID
 	open []logic.TxID
-	load logic.Load
+	load logic.LoadReport
 }
 
 // one takes a transaction and ends the oldest.
@@ -111,12 +111,12 @@
 	p.now += time.Second / perSecond
 	p.id++
 	was := p.sent
-	p.Take(p.now, p.id, logic.Arrival{Profile: 0, Tenant: -1, Budget: time.Second})
+	p.TransactionReceived(p.now, p.id, logic.Arrival{ProfileIndex: 0, TenantIndex: -1, Budget: time.Second})
 	if p.sent > was {
 		p.open = append(p.open, p.id)
 	}
 	if len(p.open) > openAtOnce {
-		p.HopEnded(p.now, p.open[0], 0, logic.Result{End: logic.Committed, Took: hopTakes, Load: p.load}, true)
+		p.HopEnded(p.now, p.open[0], 0, logic.HopResult{Outcome: logic.HopCommitted, Latency: hopTakes, Load: p.load}, true)
 		p.open = append(p.open[:0], p.open[1:]...)
 	}
 }
@@ -150,7 +150,7 @@
 		kinds = append(kinds, object{"name": p.Name, "effect": "idempotent", "serviceGoal": 400_000, "hardLimit": 1_000_000, "revenue": 1})
 	}
 	for _, t := range tenants(ofTenants) {
-		parties = append(parties, object{"name": t.Name, "quotaRps": t.Quota})
+		parties = append(parties, object{"name": t.Name, "quotaRps": t.QuotaPerSecond})
 	}
 	text, err := json.Marshal(object{"balancers": gateways, "me": 0, "myZone": "zone-00", "dcs": zones(target["zones"]), "profiles": kinds, "parties": parties,
 		"limits":      object{"mostHops": 3, "mayTell": false, "probes": false},
--- a/tools/scale/measures.go
+++ b/tools/scale/measures.go
@@ -55,27 +55,27 @@
 	change := append([]logic.Host{}, from[:changed]...)
 	return nil, func() {
 		for i := range change {
-			if change[i].State == logic.Ready {
-				change[i].State = logic.Draining
+			if change[i].State == logic.HostReady {
+				change[i].State = logic.HostDraining
 			} else {
-				change[i].State = logic.Ready
+				change[i].State = logic.HostReady
 			}
 		}
-		g.List(g.now, logic.Changes, change)
+		g.HostListReceived(g.now, logic.ListChanges, change)
 	}
 }
 
 // ownSecond is the module's work of a second, some transactions having passed in it.
 func ownSecond(g *gateway) (before, op func()) {
-	p := &player{gateway: g, load: logic.NoLoad}
+	p := &player{gateway: g, load: logic.NoLoadReport}
 	for range openAtOnce {
 		p.one()
 	}
 	for range secondsBefore { // the one call for the list is among what falls due first
 		g.toDue()
-		g.Timer(g.now)
+		g.TimerFired(g.now)
 	}
-	return g.toDue, func() { g.Timer(g.now) }
+	return g.toDue, func() { g.TimerFired(g.now) }
 }
 
 const (
@@ -85,18 +85,18 @@
 )
 
 // decision is a transaction from its arrival to the end of its one hop.
-func decision(from logic.Sources, load logic.Load) func(*meter, int) (map[string]float64, int, error) {
+func decision(from logic.InformationSources, load logic.LoadReport) func(*meter, int) (map[string]float64, int, error) {
 	return func(m *meter, n int) (map[string]float64, int, error) {
 		return decided(m, atTarget(from, profiles(usualProfiles), nil, hosts(n, target["zones"])), load)
 	}
 }
 
-func decided(m *meter, g *gateway, load logic.Load) (map[string]float64, int, error) {
+func decided(m *meter, g *gateway, load logic.LoadReport) (map[string]float64, int, error) {
 	p := &player{gateway: g, load: load}
 	before := func() {
 		if p.due > 0 && p.due <= p.now { // its own second is not in the reading
 			p.due = 0
-			p.Timer(p.now)
+			p.TimerFired(p.now)
 		}
 	}
 	for range warmedUp / decidedAtOnce {
@@ -120,8 +120,8 @@
 
 // answered is what a host says in its answers, by shape.
 var (
-	saysHeld  = logic.Load{Held: 2, Waiting: -1, Busy: 0.2, Rate: -1, Took: -1}
-	saysQueue = logic.Load{Held: -1, Waiting: 0, Busy: 0.2, Rate: 12, Took: 20}
+	saysHeld  = logic.LoadReport{InFlight: 2, Queued: -1, Utilization: 0.2, RequestsPerSecond: -1, LatencyMs: -1}
+	saysQueue = logic.LoadReport{InFlight: -1, Queued: 0, Utilization: 0.2, RequestsPerSecond: 12, LatencyMs: 20}
 )
 
 func since(int64) time.Duration { return 0 }
@@ -161,8 +161,8 @@
 			g := atTarget(told, usual, nil, all)
 			one := all[:1:1]
 			return nil, func() {
-				one[0].Size = 3 - one[0].Size
-				g.List(g.now, logic.Changes, one)
+				one[0].CapacityHint = 3 - one[0].CapacityHint
+				g.HostListReceived(g.now, logic.ListChanges, one)
 			}
 		})},
 		{"list-part", "changed", "a change of some of 20,000 hosts, taken in by the module", atFleet + ", 20,000 hosts", byChanged, costs(func(n int) (_, _ func()) {
@@ -172,7 +172,7 @@
 		{"list-whole", "hosts", "a whole list with nothing new in it, taken in by the module", atFleet, byHosts, costs(func(n int) (_, _ func()) {
 			all := hosts(n, target["zones"])
 			g := atTarget(told, usual, nil, all)
-			return nil, func() { g.List(g.now, logic.Whole, all) }
+			return nil, func() { g.HostListReceived(g.now, logic.ListComplete, all) }
 		})},
 		{"start", "hosts", "start of the module with its first list", atFleet, byHosts, costs(func(n int) (_, _ func()) {
 			all := hosts(n, target["zones"])
@@ -205,7 +205,7 @@
 		})},
 		{"decision-told", "hosts", "a decision, Take and HopEnded, where answers say what hosts hold", atFleet, bySome, decision(told, saysHeld)},
 		{"decision-reports", "hosts", "the same where answers say how hosts are loaded", atFleet, bySome, decision(reports, saysQueue)},
-		{"decision-blind", "hosts", "the same where nothing is told", atFleet, bySome, decision(blind, logic.NoLoad)},
+		{"decision-blind", "hosts", "the same where nothing is told", atFleet, bySome, decision(blind, logic.NoLoadReport)},
 		{"decision-zone", "hosts", "a decision where all hosts are in the gateway's own zone, and answers say how they are loaded", "4 profiles, 4,400 gateways", bySome[:5], func(m *meter, n int) (map[string]float64, int, error) {
 			return decided(m, atTarget(reports, usual, nil, hosts(n, 1)), saysQueue)
 		}},
@@ -275,6 +275,6 @@
 
 // retune gives the module other profiles and tenants and leaves all else.
 func retune(g *gateway, profiles []logic.Profile, tenants []logic.Tenant) {
-	g.Retune(g.now, profiles, tenants, logic.ColdRule{From: 0.25, WarmUp: 8 * time.Second, Multiple: 4, TipAfter: time.Second}, logic.DrainRule{},
-		logic.HopRule{Most: 3, BackMost: time.Second}, told, logic.Price{Crossing: 0.05})
+	g.Reconfigure(g.now, profiles, tenants, logic.ColdHostRule{InitialCapacityFraction: 0.25, WarmUpDuration: 8 * time.Second, OverloadMultiple: 4, OverloadDuration: time.Second}, logic.DrainRule{},
+		logic.HopRule{MaxHops: 3, MaxRetryAfter: time.Second}, told, logic.CostModel{CrossZoneHop: 0.05})
 }
