--- a/cmd/spanmux/main.go
+++ b/cmd/spanmux/main.go
@@ -107,7 +107,7 @@
 	if err := given.Check(t.Settings, len(t.Peers)); err != nil {
 		return err
 	}
-	desk, err := routing.Open(t.Settings)
+	desk, err := routing.NewDispatcher(t.Settings)
 	if err != nil {
 		return err
 	}
@@ -124,11 +124,11 @@
 		}
 		defer door.Close()
 		open = func() { go door.Serve() }
-		beside = control.Most
+		beside = control.MaxConnections
 	}
-	desk.Listen(ln, shared != "", t.Limits.Sockets, beside, t.Limits.MemoryMB<<20)
+	desk.ConfigureListener(ln, shared != "", t.Limits.Sockets, beside, t.Limits.MemoryMB<<20)
 	if t.PeerListen != "" {
-		if err := desk.Join(t.PeerListen, t.Peers, t.PeersAll); err != nil {
+		if err := desk.JoinPeers(t.PeerListen, t.Peers, t.PeersAll); err != nil {
 			slog.Error("goes on without telling other gateways", "error", err) // each keeps all rules alone
 		}
 	}
@@ -140,7 +140,7 @@
 	}
 	if shared != "" {
 		heir := filepath.Join(os.TempDir(), fmt.Sprintf("spanmux-%08x", crc32.ChecksumIEEE([]byte(t.Name+t.Listen))))
-		if err := desk.Succeed(heir); err != nil {
+		if err := desk.ListenForHandover(heir); err != nil {
 			slog.Warn("answers under way can't be handed over", "error", err)
 		}
 	}
@@ -153,19 +153,19 @@
 		if s == syscall.SIGHUP {
 			inForce = reload(path, inForce, desk)
 		} else {
-			fmt.Fprint(out, desk.Counters())
+			fmt.Fprint(out, desk.CountersText())
 		}
 	}
 	slog.Info("gateway ends: no new clients soon")
 	desk.Close()
-	fmt.Fprint(out, desk.Counters())
+	fmt.Fprint(out, desk.CountersText())
 	return nil
 }
 
 // reload reads the file again and takes all that may change under way, or nothing: the file that is in force from then on is
 // given back. One that is missing, torn, incomplete or makes no sense leaves what is in force: this gateway serves, and half a word
 // is no reason to stop, nor to go on by half.
-func reload(path string, inForce []byte, desk *routing.Desk) []byte {
+func reload(path string, inForce []byte, desk *routing.Dispatcher) []byte {
 	t, text, err := read(path)
 	if err == nil {
 		err = given.Complete(inForce, text, "known")
@@ -175,15 +175,15 @@
 	}
 	var to *given.Retuning
 	if err == nil {
-		to, err = desk.Retuned(t.Settings, len(t.Peers))
+		to, err = desk.CheckSettings(t.Settings, len(t.Peers))
 	}
 	if err != nil {
-		desk.Book.Rejected.Add(1)
+		desk.Counters.SettingsRejected.Add(1)
 		slog.Warn("file turned down, all stays as it was", "error", err)
 		return inForce
 	}
-	desk.Retune(to, t.Discovery)
-	desk.Book.Applied.Add(1)
+	desk.ApplySettings(to, t.Discovery)
+	desk.Counters.SettingsApplied.Add(1)
 	slog.Info("file taken", "discovery", t.Discovery)
 	return text
 }
--- a/internal/control/door.go
+++ b/internal/control/door.go
@@ -18,18 +18,18 @@
 
 // Gateway is what operators may ask of one and tell it.
 type Gateway interface {
-	Ready() bool          // it takes clients
-	Figures() []byte      // as JSON
-	Drain(away bool) bool // sends clients away, or takes them again; false where it can't
+	Ready() bool                // it takes clients
+	MetricsJSON() []byte        // as JSON
+	SetDraining(away bool) bool // sends clients away, or takes them again; false where it can't
 }
 
-// Door is where operators call.
-type Door struct {
-	ln      net.Listener
-	gateway Gateway
-	Calls   atomic.Int64 // answered with yes
-	Wrong   atomic.Int64 // answered with anything else
-	GaveWay atomic.Int64 // callers closed for others
+// AdminServer is where operators call.
+type AdminServer struct {
+	ln             net.Listener
+	gateway        Gateway
+	SucceededCalls atomic.Int64 // answered with yes
+	FailedCalls    atomic.Int64 // answered with anything else
+	Evicted        atomic.Int64 // callers closed for others
 
 	mu      sync.Mutex
 	callers []*caller // in the order in which they came
@@ -42,21 +42,21 @@
 }
 
 // Listen opens the door of a gateway.
-func Listen(addr string, gateway Gateway) (*Door, error) {
+func Listen(addr string, gateway Gateway) (*AdminServer, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	return &Door{ln: ln, gateway: gateway}, nil
+	return &AdminServer{ln: ln, gateway: gateway}, nil
 }
 
-func (d *Door) Addr() string { return d.ln.Addr().String() }
+func (d *AdminServer) Addr() string { return d.ln.Addr().String() }
 
 // Close takes no more calls.
-func (d *Door) Close() { d.ln.Close() }
+func (d *AdminServer) Close() { d.ln.Close() }
 
 // Serve answers calls until Close.
-func (d *Door) Serve() {
+func (d *AdminServer) Serve() {
 	for {
 		nc, err := d.ln.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -81,24 +81,24 @@
 
 // enter takes a place for a caller. Those that have said nothing, or half a call, stay for as long as they like, so the one
 // of them that came first gives way; one that is being answered is done in a moment.
-func (d *Door) enter(c *caller) bool {
+func (d *AdminServer) enter(c *caller) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if len(d.callers) >= Most {
+	if len(d.callers) >= MaxConnections {
 		i := slices.IndexFunc(d.callers, func(c *caller) bool { return !c.heard })
 		if i < 0 {
-			d.Wrong.Add(1)
+			d.FailedCalls.Add(1)
 			return false
 		}
 		d.callers[i].nc.Close()
 		d.callers = slices.Delete(d.callers, i, i+1)
-		d.GaveWay.Add(1)
+		d.Evicted.Add(1)
 	}
 	d.callers = append(d.callers, c)
 	return true
 }
 
-func (d *Door) leave(c *caller) {
+func (d *AdminServer) leave(c *caller) {
 	c.nc.Close()
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -108,18 +108,18 @@
 }
 
 // answer hears a call and answers it.
-func (d *Door) answer(c *caller) {
+func (d *AdminServer) answer(c *caller) {
 	c.nc.SetReadDeadline(time.Now().Add(callWithin))
 	r := bufio.NewReaderSize(c.nc, callBuffer)
 	status, allow, text, err := d.call(r, c)
 	if err != nil { // it left, or said nothing
-		d.Wrong.Add(1)
+		d.FailedCalls.Add(1)
 		return
 	}
 	if status == 200 {
-		d.Calls.Add(1)
+		d.SucceededCalls.Add(1)
 	} else {
-		d.Wrong.Add(1)
+		d.FailedCalls.Add(1)
 	}
 	c.nc.SetWriteDeadline(time.Now().Add(writeWithin))
 	answer := protocol.Said(status, allow, text)
@@ -131,7 +131,7 @@
 }
 
 // call gives the answer to a call; allow is the method that its path has, where it came with another.
-func (d *Door) call(r *bufio.Reader, c *caller) (status int, allow string, text []byte, err error) {
+func (d *AdminServer) call(r *bufio.Reader, c *caller) (status int, allow string, text []byte, err error) {
 	method, path, err := protocol.ReadOwn(r, bodyMost, func() error { _, err := c.nc.Write(protocol.GoOn); return err })
 	if err != nil {
 		wrong := protocol.WrongOf(err)
@@ -150,11 +150,11 @@
 	case "/-/ready":
 		allow, do = "GET", func() ([]byte, bool) { return said(d.gateway.Ready()) }
 	case "/-/metrics":
-		allow, do = "GET", func() ([]byte, bool) { return d.gateway.Figures(), true }
+		allow, do = "GET", func() ([]byte, bool) { return d.gateway.MetricsJSON(), true }
 	case "/-/drain":
-		do = func() ([]byte, bool) { return said(d.gateway.Drain(true)) }
+		do = func() ([]byte, bool) { return said(d.gateway.SetDraining(true)) }
 	case "/-/resume":
-		do = func() ([]byte, bool) { return said(d.gateway.Drain(false)) }
+		do = func() ([]byte, bool) { return said(d.gateway.SetDraining(false)) }
 	default:
 		return 404, "", []byte("not here\n"), nil
 	}
--- a/internal/control/door_test.go
+++ b/internal/control/door_test.go
@@ -12,14 +12,14 @@
 // stub is a gateway that is told.
 type stub struct{ away atomic.Bool }
 
-func (s *stub) Ready() bool     { return !s.away.Load() }
-func (s *stub) Figures() []byte { return []byte(`{"outstanding":2}`) }
-func (s *stub) Drain(away bool) bool {
+func (s *stub) Ready() bool         { return !s.away.Load() }
+func (s *stub) MetricsJSON() []byte { return []byte(`{"outstanding":2}`) }
+func (s *stub) SetDraining(away bool) bool {
 	s.away.Store(away)
 	return true
 }
 
-func open() (*Door, func(call string) string) {
+func open() (*AdminServer, func(call string) string) {
 	door, err := Listen("127.0.0.1:0", &stub{})
 	if err != nil {
 		panic(err)
@@ -50,7 +50,7 @@
 }
 
 // Each call gets one answer, sensible also where it is repeated, unknown, comes in another way or can't be read.
-func ExampleDoor() {
+func ExampleAdminServer() {
 	door, call := open()
 	defer door.Close()
 	for _, c := range []string{"GET /-/ready", "PUT /-/drain", "PUT /-/drain", "GET /-/ready", "PUT /-/resume", "PUT /-/resume",
@@ -61,7 +61,7 @@
 	fmt.Println("torn ->", call("GET /-/ready HTTP/1.1\r\nHo"))
 	fmt.Println("long ->", call("GET /-/ready HTTP/1.1\r\nX: "+strings.Repeat("x", 5000)+"\r\n\r\n"))
 	fmt.Println("nothing ->", call("") == ": ")
-	fmt.Println("yes:", door.Calls.Load(), "other:", door.Wrong.Load())
+	fmt.Println("yes:", door.SucceededCalls.Load(), "other:", door.FailedCalls.Load())
 	// Output:
 	// GET /-/ready -> 200 OK: yes
 	// PUT /-/drain -> 200 OK: yes
@@ -83,7 +83,7 @@
 }
 
 // Callers that say nothing, or half a call, keep no call out, however many they are.
-func ExampleDoor_silent() {
+func ExampleAdminServer_silent() {
 	door, call := open()
 	defer door.Close()
 	for i := range 500 {
@@ -95,6 +95,6 @@
 		io.WriteString(nc, strings.Repeat("GET /-/ready HT", i%2))
 	}
 	began := time.Now()
-	fmt.Println(call("GET /-/ready HTTP/1.1\r\n\r\n"), time.Since(began) < time.Second, door.GaveWay.Load() > 400)
+	fmt.Println(call("GET /-/ready HTTP/1.1\r\n\r\n"), time.Since(began) < time.Second, door.Evicted.Load() > 400)
 	// Output: 200 OK: yes true true
 }
--- a/internal/routing/admit.go
+++ b/internal/routing/admit.go
@@ -11,7 +11,7 @@
 
 // admit hands a transaction to the module unless it makes no sense or there is no room; it is false where the
 // connection ends.
-func (d *Desk) admit(t *tx) bool {
+func (d *Dispatcher) admit(t *tx) bool {
 	d.mu.Lock()
 	t.tally = d.tallies[t.said.Profile]
 	place, known := d.opened.Place(d.now(), t.said.Profile, t.said.Effect)
@@ -24,7 +24,7 @@
 		// Taken by its method it might run twice; a profile's repeats are only known by their mark.
 		wrong = "method or mark not of this profile"
 	case t.client.OverLimit:
-		d.Book.TurnedAway.Add(1)
+		d.Counters.RejectedBeforeAdmission.Add(1)
 		t.tally.rolledBack.Add(1)
 		over := protocol.Plain(503, "no room\n", 0, true)
 		if t.said.Rest == nil {
@@ -36,7 +36,7 @@
 		return false
 	}
 	if wrong != "" {
-		d.Book.wrong(wrong, slog.String("profile", t.said.Profile))
+		d.Counters.wrong(wrong, slog.String("profile", t.said.Profile))
 		if t.tally != nil {
 			t.tally.aborted.Add(1)
 		}
@@ -44,7 +44,7 @@
 		return false
 	}
 	if !d.take(t, place, max(t.said.Budget-timeAside, time.Millisecond)) {
-		d.Book.wrong("id of a transaction that is open", slog.String("trace", t.said.Trace))
+		d.Counters.wrong("id of a transaction that is open", slog.String("trace", t.said.Trace))
 		t.tally.aborted.Add(1)
 		t.client.WriteFinal(protocol.Plain(409, "its id is that of another\n", 0, true))
 		return false
@@ -53,7 +53,7 @@
 }
 
 // arrival is a transaction as the module takes it; under the lock, as tenants may change.
-func (d *Desk) arrival(said *protocol.Transaction, profile int, budget time.Duration) logic.Arrival {
+func (d *Dispatcher) arrival(said *protocol.Transaction, profile int, budget time.Duration) logic.Arrival {
 	a := logic.Arrival{ProfileIndex: profile, TenantIndex: -1, Budget: budget, BodyPending: said.Rest != nil}
 	if d.opened.WarmKeys && len(said.Object) > 0 {
 		a.AffinityKey = crc32.ChecksumIEEE(said.Object) | 1
--- a/internal/routing/daily_test.go
+++ b/internal/routing/daily_test.go
@@ -15,7 +15,7 @@
 
 // Clients that are sent away lose nothing: what comes is answered and told to close, what is idle closes soon, and the gateway
 // says no until it is told to take them again. One told to close in between closes.
-func ExampleDesk_Drain() {
+func ExampleDispatcher_SetDraining() {
 	s := play("one")
 	ready := func() {
 		c := s.dial()
@@ -31,7 +31,7 @@
 	io.WriteString(busy, text("read", "slow", ""))
 	s.untilLine("one: GET /read?slow")
 	told := time.Now()
-	s.say("drain %t, again %t, takes clients %t", s.Drain(true), s.Drain(true), s.Ready())
+	s.say("drain %t, again %t, takes clients %t", s.SetDraining(true), s.SetDraining(true), s.Ready())
 	ready()
 	s.ask("read", "new")
 	io.WriteString(later, text("read", "later", ""))
@@ -39,10 +39,10 @@
 	s.get(idle, "idle")
 	s.say("within 2 s: %t", time.Since(told) < 2*time.Second)
 	s.get(busy, "busy")
-	s.say("resume %t, again %t, takes clients %t", s.Drain(false), s.Drain(false), s.Ready())
+	s.say("resume %t, again %t, takes clients %t", s.SetDraining(false), s.SetDraining(false), s.Ready())
 	ready()
 	s.Close()
-	s.say("at the end: drain %t, resume %t, takes clients %t", s.Drain(true), s.Drain(false), s.Ready())
+	s.say("at the end: drain %t, resume %t, takes clients %t", s.SetDraining(true), s.SetDraining(false), s.Ready())
 	s.print()
 	// Output:
 	// one: GET /read?go ""
@@ -66,7 +66,7 @@
 
 // Each answer to a transaction of a known profile counts once, by what its client got, hops by what was written whole, and
 // nothing stays open. A host whose breaker is open is avoided.
-func ExampleDesk_Figures() {
+func ExampleDispatcher_MetricsJSON() {
 	s := play("one", "down")
 	for _, do := range []string{"go", "go", "error", "decline", "full"} {
 		s.ask("pay", do)
@@ -78,11 +78,11 @@
 	c = s.dial()
 	io.WriteString(c, text("read", "wait", ""))
 	s.untilLine("one: GET /read?wait")
-	fmt.Println(string(s.Figures()))
+	fmt.Println(string(s.MetricsJSON()))
 	c.Close()
 	s.untilLine("one: given up")
 	s.decide(func(time.Duration) { s.list.addr[7] = "127.0.0.1:1" })
-	fmt.Println(string(s.Figures()))
+	fmt.Println(string(s.MetricsJSON()))
 	// Output:
 	// {"succeeded":{"order":0,"pay":2,"read":0},"declined":{"order":0,"pay":1,"read":0},"aborted":{"order":0,"pay":2,"read":1},"forwards":6,"outstanding":1,"discovered":2,"ejected":0,"sighup_applied":0,"sighup_rejected":0}
 	// {"succeeded":{"order":0,"pay":2,"read":0},"declined":{"order":0,"pay":1,"read":0},"aborted":{"order":0,"pay":2,"read":1},"forwards":6,"outstanding":0,"discovered":3,"ejected":0,"sighup_applied":0,"sighup_rejected":0}
@@ -90,7 +90,7 @@
 
 // A process asks the one before it for what that has learnt, and begins with it; one that says nothing, or nonsense, leaves it to learn
 // by itself, and costs it no more than a moment.
-func ExampleDesk_Succeed_learns() {
+func ExampleDispatcher_ListenForHandover_learns() {
 	dir, err := os.MkdirTemp("", "learns")
 	if err != nil {
 		panic(err)
@@ -99,7 +99,7 @@
 	path := filepath.Join(dir, "heir")
 	begins := func(what string) {
 		s := play("one")
-		fmt.Println(what, s.Succeed(path))
+		fmt.Println(what, s.ListenForHandover(path))
 		s.decide(func(now time.Duration) {
 			s.opened.HostListReceived(now, logic.ListComplete, []logic.Host{{ID: 1, Kind: "box", Zone: "a", State: logic.HostReady}})
 			s.learn(now)
@@ -110,7 +110,7 @@
 	before := play("one")
 	before.ask("read", "go")
 	before.decide(func(now time.Duration) { fmt.Print("learns: ", len(before.opened.ExportLearned(now).Profiles), " ") })
-	fmt.Println(before.Succeed(path))
+	fmt.Println(before.ListenForHandover(path))
 	begins("one before:")
 	for what, says := range map[string]string{"says nothing": "", "nonsense": "\x01\x00\x00\x00\x05abcde", "too much": "\x01\xff\xff\xff\xff", "silent": "-"} {
 		os.Remove(path)
@@ -126,7 +126,7 @@
 			}
 		}()
 		s, began := play("one"), time.Now()
-		err = s.Succeed(path)
+		err = s.ListenForHandover(path)
 		if err != nil || !s.learnt.at.IsZero() || time.Since(began) > 2*time.Second {
 			fmt.Println(what, err, s.learnt.at, time.Since(began))
 		}
@@ -141,7 +141,7 @@
 }
 
 // Asks for a host and their answers are counted, so that it shows when the gateway that draws has fallen silent.
-func ExampleDesk_SendPeerMessage_asks() {
+func ExampleDispatcher_SendPeerMessage_asks() {
 	s := play("one")
 	s.decide(func(time.Duration) {
 		s.SendPeerMessage(1, []logic.PeerEntry{{Kind: logic.EntryPickRequest, InFlight: 1}, {Kind: logic.EntryPickRequest}, {Kind: logic.EntryInFlight}})
@@ -155,6 +155,6 @@
 	for msg := range s.opened.Messages([]logic.PeerEntry{{Kind: logic.EntryPickResponse}, {Kind: logic.EntryInFlight, Host: 1}}) {
 		s.told(at, msg)
 	}
-	fmt.Println("asks:", s.Book.Asks.Load(), "answered:", s.Book.AsksAnswered.Load(), "told:", s.Book.Told.Load())
+	fmt.Println("asks:", s.Counters.PickRequests.Load(), "answered:", s.Counters.PickResponses.Load(), "told:", s.Counters.PeerMessagesReceived.Load())
 	// Output: asks: 2 answered: 1 told: 1
 }
--- a/internal/routing/endings_test.go
+++ b/internal/routing/endings_test.go
@@ -51,7 +51,7 @@
 }
 
 func (s *stage) untilLeft(n int64) {
-	s.until("client seen to leave", func() bool { return s.Book.Left.Load()+s.Book.LeftBefore.Load() == n })
+	s.until("client seen to leave", func() bool { return s.Counters.ClientLeft.Load()+s.Counters.ClientLeftBeforeAdmission.Load() == n })
 }
 
 // A connection that came up after its client had left was written to all the same where what runs may not be called off, and a dial that
@@ -68,12 +68,12 @@
 				leaves[how](c)
 				s.untilLeft(1)
 				s.gate <- true
-				s.until("withdrawn", func() bool { return s.Book.Withdrawn.Load() == 1 })
-				sent += int(s.Book.Written.Load())
+				s.until("withdrawn", func() bool { return s.Counters.HopsWithdrawn.Load() == 1 })
+				sent += int(s.Counters.HopsWritten.Load())
 				if s.never() {
 					sent++
 				}
-				if n := s.Book.Ends[logic.HopNoConnection].Load(); n != 0 {
+				if n := s.Counters.HopOutcomes[logic.HopNoConnection].Load(); n != 0 {
 					fmt.Println("ends that speak against the host:", n)
 				}
 			}
@@ -103,7 +103,7 @@
 		c.Close()
 		s.untilLeft(1)
 		s.until("all closed", func() bool { return s.listener.OpenClients() == 0 })
-		fmt.Println("sent:", s.Book.Hops.Load(), "left:", s.Book.Left.Load(), s.never())
+		fmt.Println("sent:", s.Counters.Hops.Load(), "left:", s.Counters.ClientLeft.Load(), s.never())
 	}
 	// Output:
 	// sent: 1 left: 1 false
@@ -122,7 +122,7 @@
 	if err != nil {
 		panic(err)
 	}
-	s.Listen(ln, false, 400, 0, 2<<20)
+	s.ConfigureListener(ln, false, 400, 0, 2<<20)
 	for _, how := range []string{"closes", "resets", "halves"} {
 		c := s.dial()
 		io.WriteString(c, text("pay", "go", ""))
@@ -130,7 +130,7 @@
 	}
 	go s.listener.Serve(s.client)
 	s.until("all closed", func() bool { return s.listener.Accepted.Load() == 3 && s.listener.OpenClients() == 0 })
-	fmt.Println("taken:", s.Book.Taken.Load(), "sent:", s.Book.Hops.Load(), s.never())
+	fmt.Println("taken:", s.Counters.Admitted.Load(), "sent:", s.Counters.Hops.Load(), s.never())
 	// Output: taken: 0 sent: 0 false
 }
 
@@ -145,16 +145,20 @@
 		<-s.dials
 		if up {
 			s.gate <- true
-			s.until("body on its way", func() bool { s.Desk.mu.Lock(); defer s.Desk.mu.Unlock(); return len(s.txs) == 1 && s.txs[1].passed })
+			s.until("body on its way", func() bool {
+				s.Dispatcher.mu.Lock()
+				defer s.Dispatcher.mu.Unlock()
+				return len(s.txs) == 1 && s.txs[1].passed
+			})
 		}
 		c.Close()
 		s.untilLeft(1)
 		if !up {
 			s.gate <- true
 		}
-		s.until("withdrawn", func() bool { return s.Book.Withdrawn.Load() == 1 && s.listener.OpenClients() == 0 })
+		s.until("withdrawn", func() bool { return s.Counters.HopsWithdrawn.Load() == 1 && s.listener.OpenClients() == 0 })
 		s.until("its socket is free", func() bool { return s.connLimit.InUse() == 0 })
-		fmt.Println("some passed on:", up, "written whole:", s.Book.Written.Load(), s.never())
+		fmt.Println("some passed on:", up, "written whole:", s.Counters.HopsWritten.Load(), s.never())
 	}
 	// Output:
 	// some passed on: false written whole: 0 false
@@ -171,13 +175,13 @@
 	})
 	c := s.dial()
 	io.WriteString(c, text("pay", "go", ""))
-	s.until("taken", func() bool { return s.Book.Taken.Load() == 1 })
+	s.until("taken", func() bool { return s.Counters.Admitted.Load() == 1 })
 	c.Close()
 	s.untilLeft(1)
 	for end := time.Now().Add(300 * time.Millisecond); time.Now().Before(end); { // its wait is over within
 		s.decide(func(now time.Duration) { s.opened.TimerFired(now) })
 	}
-	fmt.Println("asks unanswered, sent:", s.Book.Hops.Load())
+	fmt.Println("asks unanswered, sent:", s.Counters.Hops.Load())
 
 	s = playBy(strings.Replace(settings, `"cancelling":true`, `"cancelling":false`, 1), "one", "two")
 	goOn := make(chan bool)
@@ -195,8 +199,8 @@
 	c.Close()
 	s.untilLeft(1)
 	goOn <- true
-	s.until("turned away", func() bool { return s.Book.Ends[logic.HopHostFull].Load() == 1 })
-	fmt.Println("turned away by the first, sent:", s.Book.Hops.Load())
+	s.until("turned away", func() bool { return s.Counters.HopOutcomes[logic.HopHostFull].Load() == 1 })
+	fmt.Println("turned away by the first, sent:", s.Counters.Hops.Load())
 	// Output:
 	// asks unanswered, sent: 0
 	// turned away by the first, sent: 1
@@ -217,7 +221,7 @@
 	s.gate <- true
 	s.gate <- true
 	s.get(c, "pay")
-	fmt.Println("to the draining one:", strings.Count(strings.Join(s.lines, "\n"), uid+": POST"), "withdrawn:", s.Book.Withdrawn.Load(), s.lines[len(s.lines)-1])
+	fmt.Println("to the draining one:", strings.Count(strings.Join(s.lines, "\n"), uid+": POST"), "withdrawn:", s.Counters.HopsWithdrawn.Load(), s.lines[len(s.lines)-1])
 	// Output: to the draining one: 0 withdrawn: 1 pay: 200 "answer to go"
 }
 
@@ -235,8 +239,8 @@
 		s.untilLeft(1)
 		most = max(most, time.Since(at))
 		s.gate <- true
-		s.until("withdrawn", func() bool { return s.Book.Withdrawn.Load() == 1 })
-		if n := s.Book.Written.Load(); n > 0 {
+		s.until("withdrawn", func() bool { return s.Counters.HopsWithdrawn.Load() == 1 })
+		if n := s.Counters.HopsWritten.Load(); n > 0 {
 			b.Error("sent:", n)
 		}
 	}
@@ -290,7 +294,7 @@
 		s.decide(func(time.Duration) { s.rediscover(ln.Addr().String()) })
 		fmt.Println(end, <-calls, <-calls)
 		began := <-first
-		fmt.Println(<-calls, "in time:", time.Since(began) < watchWait+2*time.Second, "again at once:", s.Book.ListsAgain.Load(), "for the module:", s.Book.ListsLost.Load())
+		fmt.Println(<-calls, "in time:", time.Since(began) < watchWait+2*time.Second, "again at once:", s.Counters.ListCallsRetried.Load(), "for the module:", s.Counters.ListCallsFailed.Load())
 	}
 	// Output:
 	// silence /v1/endpoints /v1/endpoints?index=5&wait=3000
@@ -316,7 +320,7 @@
 	s.untilRev(9)
 	older := entry("one", "in_service", 0) + "," + entry("two", "in_service", 1_000_000) + "," + entry("three", "in_service", 0)
 	s.lists <- `{"rev":3,"targets":[` + older + `]}`
-	s.until("not taken", func() bool { return s.Book.ListsOlder.Load() == 1 })
+	s.until("not taken", func() bool { return s.Counters.ListsStale.Load() == 1 })
 	s.lists <- `{"rev":3,"all":true,"targets":[` + older + `]}`
 	s.untilRev(3)
 	s.print()
@@ -335,7 +339,7 @@
 // A notice that comes where discovery was counts until it is heard where it is, and nothing else that comes there does.
 func Example_drainNoticeAtOldAddress() {
 	s := play("one", "two")
-	s.until("a call", func() bool { return s.Book.Lists.Load() == 1 })
+	s.until("a call", func() bool { return s.Counters.ListCalls.Load() == 1 })
 	moved, answer := make(chan bool), make(chan bool)
 	at := s.listen(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		moved <- true
@@ -345,7 +349,11 @@
 	s.decide(func(time.Duration) { s.rediscover(at) })
 	<-moved // it is asked, and says nothing yet
 	s.lists <- `{"rev":5,"targets":[{"uid":"one","az":"a","state":"terminating"},{"uid":"new","az":"a","state":"in_service"}]}`
-	s.until("goes", func() bool { s.Desk.mu.Lock(); defer s.Desk.mu.Unlock(); return !s.list.takes(s.list.ids["one"]) })
+	s.until("goes", func() bool {
+		s.Dispatcher.mu.Lock()
+		defer s.Dispatcher.mu.Unlock()
+		return !s.list.takes(s.list.ids["one"])
+	})
 	for range 3 {
 		s.ask("pay", "go")
 	}
@@ -353,7 +361,7 @@
 	fmt.Println("known:", len(s.list.addr))
 	answer <- true
 	s.untilRev(1)
-	fmt.Println("known:", len(s.list.addr), "lost:", s.Book.ListsLost.Load())
+	fmt.Println("known:", len(s.list.addr), "lost:", s.Counters.ListCallsFailed.Load())
 	// Output:
 	// discovery: /v1/endpoints?index=4&wait=3000
 	// two: POST /pay?go "hi"
@@ -403,7 +411,7 @@
 	}
 	s.lists <- `{"rev":5,"targets":[{"uid":"one","az":"a","state":"terminating"}]}`
 	s.untilRev(5)
-	fmt.Println("lost:", s.Book.ListsLost.Load(), "in time:", time.Since(began) < 5*300*time.Millisecond)
+	fmt.Println("lost:", s.Counters.ListCallsFailed.Load(), "in time:", time.Since(began) < 5*300*time.Millisecond)
 	// Output: lost: 5 in time: true
 }
 
@@ -424,7 +432,7 @@
 		io.WriteString(c, strings.Replace(text("pay", "go", ""), "Length: 2", "Length: 100000", 1)+strings.Repeat("a", 50_000))
 		s.get(c, answer)
 		s.print()
-		fmt.Println("never ran:", s.Book.Ends[logic.HopHostFull].Load()+s.Book.Ends[logic.HopNoConnection].Load(), "streamed:", s.Book.Streamed.Load(), "committed:", s.Book.Committed.Load())
+		fmt.Println("never ran:", s.Counters.HopOutcomes[logic.HopHostFull].Load()+s.Counters.HopOutcomes[logic.HopNoConnection].Load(), "streamed:", s.Counters.ResponsesStreamed.Load(), "committed:", s.Counters.Committed.Load())
 		c.Close()
 	}
 	// Output:
@@ -454,7 +462,7 @@
 	s.get(stays, "stays")
 	<-ended
 	s.print()
-	fmt.Println("written:", s.Book.Written.Load(), "open:", s.Book.Open.Load())
+	fmt.Println("written:", s.Counters.HopsWritten.Load(), "open:", s.Counters.OpenTransactions.Load())
 	// Output:
 	// one: POST /pay?stays "hi"
 	// stays: 200 "answer to stays", the last
@@ -472,7 +480,7 @@
 				s.ask(profile, "go")
 				s.ask(profile, "error")
 			}
-			s.until("none open", func() bool { return s.Book.Open.Load() == 0 })
+			s.until("none open", func() bool { return s.Counters.OpenTransactions.Load() == 0 })
 			answers, said := 0, fmt.Sprint(s.lines)
 			for _, status := range []string{": 200", ": 503", ": 504"} {
 				answers += strings.Count(said, status)
@@ -498,7 +506,7 @@
 	c := s.dial()
 	defer c.Close()
 	io.WriteString(c, text("pay", "go", ""))
-	s.until("out", func() bool { return s.Book.Written.Load() == 1 })
+	s.until("out", func() bool { return s.Counters.HopsWritten.Load() == 1 })
 	s.takeList(s.list.line, logic.ListChanges, &protocol.List{Rev: 6, Targets: []protocol.Entry{{UID: "scripted", Zone: "a", State: "terminated"}}})
 	goOn <- true
 	s.get(c, "pay")
--- a/internal/routing/gone_test.go
+++ b/internal/routing/gone_test.go
@@ -132,7 +132,7 @@
 // leave has all clients leave, by turns in each way, and waits until the gateway knows and the time is over after which no hop may begin.
 func (l *leavers) leave() {
 	if l.waits == 0 {
-		l.waits = l.Book.Open.Load()
+		l.waits = l.Counters.OpenTransactions.Load()
 	}
 	for i, c := range l.lines {
 		leaves[l.ways[i%len(l.ways)]](c)
@@ -145,7 +145,7 @@
 
 // after is how many hops began too late.
 func (l *leavers) after() (late int) {
-	l.until("none out", func() bool { l.Desk.mu.Lock(); defer l.Desk.mu.Unlock(); return len(l.txs) == 0 })
+	l.until("none out", func() bool { l.Dispatcher.mu.Lock(); defer l.Dispatcher.mu.Unlock(); return len(l.txs) == 0 })
 	l.seen.Lock()
 	defer l.seen.Unlock()
 	for _, at := range l.begun {
@@ -177,19 +177,19 @@
 // untilDials waits until all are taken, and connections for their hops are waited for.
 func (l *leavers) untilDials() {
 	l.untilTaken()
-	l.out = int(l.Book.Hops.Load())
+	l.out = int(l.Counters.Hops.Load())
 	l.until("connections waited for", func() bool { return len(l.dials) == l.out })
 }
 
 // untilThere waits until all are taken, and their hops have come to a host.
 func (l *leavers) untilThere() {
 	l.untilTaken()
-	hops := int(l.Book.Hops.Load())
+	hops := int(l.Counters.Hops.Load())
 	l.until("hops there", func() bool { l.seen.Lock(); defer l.seen.Unlock(); return len(l.begun) == hops })
 }
 
 func (l *leavers) untilTaken() {
-	l.until("taken", func() bool { return l.Book.Taken.Load() >= int64(l.size) })
+	l.until("taken", func() bool { return l.Counters.Admitted.Load() >= int64(l.size) })
 	l.decide(func(time.Duration) {}) // what came with the last one is done
 }
 
@@ -235,7 +235,7 @@
 		if err != nil {
 			panic(err)
 		}
-		l.Listen(ln, false, 400, 0, 2<<20)
+		l.ConfigureListener(ln, false, 400, 0, 2<<20)
 		l.waits = int64(size)
 		l.send(pay)
 		served := time.AfterFunc(2*goneWithin, func() { l.listener.Serve(l.client) })
--- a/internal/routing/handover.go
+++ b/internal/routing/handover.go
@@ -53,7 +53,7 @@
 
 // pass passes on the rest of a streamed answer, piece by piece, after what is to be sent before it. Where this process ends and another
 // takes clients, that other goes on with it: a client may read for longer than an ending process has.
-func (d *Desk) pass(f *flow) (handed bool, err error) {
+func (d *Dispatcher) pass(f *flow) (handed bool, err error) {
 	piece := pieces.Get().(*[pieceBytes]byte)
 	defer pieces.Put(piece)
 	defer d.letGo(f)
@@ -67,7 +67,7 @@
 			text, err := json.Marshal(note{Trace: f.trace, Host: f.from, Body: f.rest.State(), Framing: f.framing, Closing: f.closing, Last: f.last})
 			unsent := append(bytes.Join(f.unsent, nil), f.ahead...)
 			if err == nil && transport.Hand(d.heir, text, unsent, f.client, f.host) {
-				d.Book.Handed.Add(1)
+				d.Counters.HandedOver.Add(1)
 				return true, nil
 			}
 		}
@@ -111,7 +111,7 @@
 // hurries tells whether a host is let get rid of an answer faster than its client takes it. One that drains goes once it has written all, and
 // what its own socket still holds then goes with it, megabytes at times. So as it drains this machine's socket takes in what that holds, which
 // outlives the host, and the end is read ahead besides. Where the length is said that is near only towards the end.
-func (d *Desk) hurries(f *flow) bool {
+func (d *Dispatcher) hurries(f *flow) bool {
 	left, said := f.rest.Left()
 	if !d.goes(f.from) {
 		return said && left <= tailMost
@@ -144,7 +144,7 @@
 
 // readAhead takes in what a host gives. It waits for nothing. The room for it is its own: that for bodies is taken by clients that are slow
 // to send, just when others are slow to read. Half of it is for answers whose end is known to be near.
-func (d *Desk) readAhead(f *flow) error {
+func (d *Dispatcher) readAhead(f *flow) error {
 	piece := pieces.Get().(*[pieceBytes]byte) // what is not sent yet may lie in the other one
 	defer pieces.Put(piece)
 	if len(f.ahead) == 0 {
@@ -163,7 +163,7 @@
 }
 
 // takeAhead takes room for a further piece.
-func (d *Desk) takeAhead(f *flow) bool {
+func (d *Dispatcher) takeAhead(f *flow) bool {
 	_, said := f.rest.Left()
 	least := int64(0)
 	if !said {
@@ -178,21 +178,21 @@
 }
 
 // letGo gives the room back.
-func (d *Desk) letGo(f *flow) {
+func (d *Dispatcher) letGo(f *flow) {
 	d.ahead.Add(int64(f.held))
 	f.held = 0
 }
 
 // goes tells whether a host drains, or is gone from the list.
-func (d *Desk) goes(host logic.HostID) bool {
+func (d *Dispatcher) goes(host logic.HostID) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return !d.list.takes(host)
 }
 
 // brokenOff says what is known of an answer that ended too soon.
-func (d *Desk) brokenOff(f *flow, err error, adopted bool) {
-	if !d.Book.lines.allows() {
+func (d *Dispatcher) brokenOff(f *flow, err error, adopted bool) {
+	if !d.Counters.lines.allows() {
 		return
 	}
 	left, said := f.rest.Left()
@@ -201,7 +201,7 @@
 }
 
 // passing notes whether a streamed answer is under way.
-func (d *Desk) passing(f *flow, on bool) {
+func (d *Dispatcher) passing(f *flow, on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if on {
@@ -213,7 +213,7 @@
 
 // nudge has streams that wait for a client to read, or for a host to go on, look at whether they are to be handed over, or their hosts
 // drain. One that waited for its host ended with its process once.
-func (d *Desk) nudge() {
+func (d *Dispatcher) nudge() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for f := range d.streams { // in any order: all are
@@ -222,10 +222,10 @@
 	}
 }
 
-// Succeed listens at a path for answers that the process before this one can't finish, and is where this one hands over its own.
+// ListenForHandover listens at a path for answers that the process before this one can't finish, and is where this one hands over its own.
 //
 // The process before is asked first for what it has learnt: one that begins by guesses rolls back what hosts could do.
-func (d *Desk) Succeed(path string) error {
+func (d *Dispatcher) ListenForHandover(path string) error {
 	text, err := json.Marshal(note{Asks: true})
 	must.Hold(err == nil, "a note can be written")
 	if said := transport.Ask(path, text); json.Unmarshal(said, &d.learnt.what) == nil {
@@ -242,26 +242,26 @@
 
 // turned ends with a message that is not whole as this process ends, and of which no host has anything: the next process hears it out, or
 // its client is told at once to come again.
-func (d *Desk) turned(c *transport.Client) {
+func (d *Dispatcher) turned(c *transport.Client) {
 	if !d.handOver(c) {
-		d.Book.TurnedAway.Add(1)
+		d.Counters.RejectedBeforeAdmission.Add(1)
 		c.WriteFinal(protocol.Plain(503, "ends\n", 0, true))
 	}
 }
 
 // handOver hands a client over with what has come of its message.
-func (d *Desk) handOver(c *transport.Client) (handed bool) {
+func (d *Dispatcher) handOver(c *transport.Client) (handed bool) {
 	heard, all := c.Retained()
 	if handed = all && d.shared && transport.Hand(d.heir, nil, heard, c); handed {
-		d.Book.Handed.Add(1)
+		d.Counters.HandedOver.Add(1)
 	}
 	return handed
 }
 
 // adopt goes on with what was handed over: a message that is not whole, or an answer, and then its client.
-func (d *Desk) adopt(text, read []byte, conns []net.Conn) (answer []byte) {
+func (d *Dispatcher) adopt(text, read []byte, conns []net.Conn) (answer []byte) {
 	if len(text) == 0 && len(conns) == 1 {
-		d.Book.Adopted.Add(1)
+		d.Counters.Adopted.Add(1)
 		d.listener.AdoptPartial(conns[0], read, d.client)
 		return nil
 	}
@@ -282,20 +282,20 @@
 		return nil
 	}
 	client, host := conns[0], conns[1]
-	d.Book.Adopted.Add(1)
-	d.Book.Open.Add(1)
+	d.Counters.Adopted.Add(1)
+	d.Counters.OpenTransactions.Add(1)
 	d.listener.Adopt(client, func(c *transport.Client) {
 		f := &flow{trace: n.Trace, began: time.Now(), client: c, host: host, from: n.Host, rest: rest, ahead: read,
 			framing: n.Framing, closing: n.Closing, whole: true, last: n.Last}
 		handed, err := d.pass(f)
 		host.Close()
-		d.Book.Open.Add(-1)
+		d.Counters.OpenTransactions.Add(-1)
 		switch {
 		case handed:
 			return
 		case err != nil:
 			d.brokenOff(f, err, true)
-			if d.Book.CutOff.Add(1); n.Framing == protocol.ByClose {
+			if d.Counters.ResponsesCutOff.Add(1); n.Framing == protocol.ByClose {
 				c.Reset()
 			}
 		case !n.Closing:
@@ -307,7 +307,7 @@
 }
 
 // learned is what this process has learnt, for the next.
-func (d *Desk) learned() []byte {
+func (d *Dispatcher) learned() []byte {
 	d.mu.Lock()
 	what := d.opened.ExportLearned(d.now())
 	d.mu.Unlock()
@@ -317,7 +317,7 @@
 }
 
 // learn has the module take in what the process before had learnt, of the hosts that are known by now. Under the lock, within the module's turn.
-func (d *Desk) learn(now time.Duration) {
+func (d *Dispatcher) learn(now time.Duration) {
 	if !d.learnt.at.IsZero() {
 		d.opened.ImportLearned(now, d.learnt.what, time.Since(d.learnt.at))
 	}
--- a/internal/routing/relay.go
+++ b/internal/routing/relay.go
@@ -35,14 +35,14 @@
 // ended tells the module how a hop ended; the first that commits is the transaction's final answer. One that its host
 // declines would be declined by all: that is final too, and says nothing against the host. Counted as errors, what bad
 // clients send would open the breakers of good hosts.
-func (d *Desk) ended(h *hop, how transport.How) {
+func (d *Dispatcher) ended(h *hop, how transport.How) {
 	if how == transport.Withdrawn && !d.wants(h) {
-		d.Book.Withdrawn.Add(1)
+		d.Counters.HopsWithdrawn.Add(1)
 		d.unsent(h)
 		return
 	}
 	if how == transport.LimitReached { // taken for a host that is not there it opened the breakers of all good ones
-		d.Book.NoRoom.Add(1)
+		d.Counters.HopsNoSocket.Add(1)
 		d.unsent(h)
 		return
 	}
@@ -50,7 +50,7 @@
 	if h.answer != nil {
 		load = h.answer.Load
 		if h.answer.LoadErr != nil {
-			d.Book.wrong(h.answer.LoadErr.Error())
+			d.Counters.wrong(h.answer.LoadErr.Error())
 		}
 	}
 	if h.streamed { // the module knows
@@ -61,15 +61,15 @@
 		t := h.t
 		t.out--
 		d.closeGone(h.to)
-		d.Book.Ends[end].Add(1)
+		d.Counters.HopOutcomes[end].Add(1)
 		switch {
 		case t.answered || end != logic.HopCommitted && end != logic.HopNotSent:
 		case end == logic.HopCommitted:
-			d.answer(t, &d.Book.Committed, 200, h.answer.ForClient)
+			d.answer(t, &d.Counters.Committed, 200, h.answer.ForClient)
 		default:
-			d.answer(t, &d.Book.Declined, h.answer.Status, h.answer.ForClient)
+			d.answer(t, &d.Counters.Declined, h.answer.Status, h.answer.ForClient)
 			d.then(func() {
-				d.Book.wrong("declined by its host", slog.Int("status", h.answer.Status), slog.String("trace", t.said.Trace))
+				d.Counters.wrong("declined by its host", slog.Int("status", h.answer.Status), slog.String("trace", t.said.Trace))
 			})
 		}
 		d.opened.HopEnded(now, t.id, h.number, logic.HopResult{Outcome: end, Latency: time.Since(h.sent) - h.exchange.Waited, Load: load}, t.answered)
@@ -77,20 +77,20 @@
 	})
 }
 
-func (d *Desk) RollBack(id logic.TxID, after time.Duration) {
-	d.answer(d.txs[id], &d.Book.RolledBack, 503, func(closing bool) net.Buffers {
+func (d *Dispatcher) RollBack(id logic.TxID, after time.Duration) {
+	d.answer(d.txs[id], &d.Counters.RolledBack, 503, func(closing bool) net.Buffers {
 		return protocol.Plain(503, "rolled back\n", after, closing)
 	})
 }
 
-func (d *Desk) Abandon(id logic.TxID) {
-	d.answer(d.txs[id], &d.Book.Abandoned, 504, func(closing bool) net.Buffers {
+func (d *Dispatcher) Abandon(id logic.TxID) {
+	d.answer(d.txs[id], &d.Counters.Abandoned, 504, func(closing bool) net.Buffers {
 		return protocol.Plain(504, "abandoned\n", 0, closing)
 	})
 }
 
 // answer is a transaction's one final answer. It is written outside the lock, by whoever has it.
-func (d *Desk) answer(t *tx, count *count, status int, form func(closing bool) net.Buffers) {
+func (d *Dispatcher) answer(t *tx, count *count, status int, form func(closing bool) net.Buffers) {
 	must.Hold(t != nil && !t.answered, "one final answer")
 	if t == nil || t.answered {
 		return
@@ -101,18 +101,18 @@
 	d.then(func() {
 		closing := t.said.Close || !heard || d.sendsAway()
 		err := t.client.WriteWithDeadline(bare(t.said, form(closing)), taken.Add(t.said.Budget))
-		d.Book.Microseconds.Add(time.Since(taken).Microseconds())
+		d.Counters.ResponseMicroseconds.Add(time.Since(taken).Microseconds())
 		d.written(t, status, err, closing, heard)
 	})
 }
 
 // written notes that an answer is written, or as much of it as could be.
-func (d *Desk) written(t *tx, status int, err error, closing, heard bool) {
+func (d *Dispatcher) written(t *tx, status int, err error, closing, heard bool) {
 	if err != nil {
-		d.Book.Unwritten.Add(1)
+		d.Counters.ResponsesUnwritten.Add(1)
 	}
 	t.tally.of(status, err == nil).Add(1)
-	d.Book.Open.Add(-1)
+	d.Counters.OpenTransactions.Add(-1)
 	switch {
 	case err != nil:
 		t.client.Close()
@@ -134,7 +134,7 @@
 
 // stream passes on an answer over the usual size as it comes: its head is sound. From here on the transaction is its host's, and no
 // other hop can answer it; what breaks it off now its client can tell.
-func (d *Desk) stream(h *hop, a *protocol.Answer, rest *protocol.Body) error {
+func (d *Dispatcher) stream(h *hop, a *protocol.Answer, rest *protocol.Body) error {
 	t, heard := h.t, false
 	if a.Status == 200 && !h.exchange.Whole() {
 		return errEarly
@@ -144,15 +144,15 @@
 			return
 		}
 		h.streamed, heard = true, t.said.Rest == nil || t.heard
-		end, count := logic.HopCommitted, &d.Book.Committed
+		end, count := logic.HopCommitted, &d.Counters.Committed
 		if a.Declined {
-			end, count = logic.HopNotSent, &d.Book.Declined
+			end, count = logic.HopNotSent, &d.Counters.Declined
 		}
 		t.out--
 		d.settled(t)
 		count.Add(1)
-		d.Book.Streamed.Add(1)
-		d.Book.Ends[end].Add(1)
+		d.Counters.ResponsesStreamed.Add(1)
+		d.Counters.HopOutcomes[end].Add(1)
 		d.opened.ResponseStarted(now, t.id, h.number)
 		d.opened.HopEnded(now, t.id, h.number, logic.HopResult{Outcome: end, Latency: time.Since(h.sent), Load: a.Load}, true)
 	})
@@ -167,7 +167,7 @@
 		framing: framing, closing: closing, whole: heard && !t.early}
 	handed, err := d.pass(f)
 	if err != nil {
-		if d.Book.CutOff.Add(1); framing == protocol.ByClose { // else it would look whole
+		if d.Counters.ResponsesCutOff.Add(1); framing == protocol.ByClose { // else it would look whole
 			t.client.Reset()
 		}
 		d.brokenOff(f, err, false)
@@ -182,7 +182,7 @@
 
 // stopStream gives up an answer that is passed on as it comes once its client has closed the connection. A host that has fallen silent within
 // the answer would keep its connection, and its place at the host, for hostSilent.
-func (d *Desk) stopStream(t *tx) {
+func (d *Dispatcher) stopStream(t *tx) {
 	if !t.client.PeerClosed() { // this process has closed it, as the answer was written
 		return
 	}
--- a/internal/routing/route.go
+++ b/internal/routing/route.go
@@ -15,9 +15,9 @@
 	"spanmux/logic"
 )
 
-// Desk is one gateway between its clients and the hosts.
-type Desk struct {
-	Book      Book
+// Dispatcher is one gateway between its clients and the hosts.
+type Dispatcher struct {
+	Counters  Counters
 	pool      *transport.Pool
 	listener  *transport.Listener
 	opened    *given.Opened
@@ -83,10 +83,10 @@
 	}
 }
 
-// Open makes a gateway's desk; settings are the module's.
-func Open(settings []byte) (*Desk, error) {
+// NewDispatcher makes a gateway's desk; settings are the module's.
+func NewDispatcher(settings []byte) (*Dispatcher, error) {
 	opened, err := given.Read(settings, askWithin)
-	d := &Desk{opened: opened, txs: map[logic.TxID]*tx{}, open: map[string]bool{}, list: newListing(),
+	d := &Dispatcher{opened: opened, txs: map[logic.TxID]*tx{}, open: map[string]bool{}, list: newListing(),
 		tallies: map[string]*tally{}, listed: make(chan struct{}),
 		streams: map[*flow]bool{}}
 	d.has = sync.OnceFunc(func() { close(d.listed) })
@@ -99,7 +99,7 @@
 }
 
 // decide calls the module under the lock and does afterwards, outside it, what the module wants done.
-func (d *Desk) decide(call func(now time.Duration)) {
+func (d *Dispatcher) decide(call func(now time.Duration)) {
 	d.mu.Lock()
 	must.Hold(!d.within, "the module is not called from within")
 	d.within = true
@@ -114,12 +114,12 @@
 }
 
 // now is the time on the module's clock.
-func (d *Desk) now() time.Duration { return origin + time.Since(d.began) }
+func (d *Dispatcher) now() time.Duration { return origin + time.Since(d.began) }
 
-func (d *Desk) then(do func()) { d.after = append(d.after, do) }
+func (d *Dispatcher) then(do func()) { d.after = append(d.after, do) }
 
 // since turns the time of a host's start into the module's clock; 0 is long ago, as is all before that clock began.
-func (d *Desk) since(bootMS int64) time.Duration {
+func (d *Dispatcher) since(bootMS int64) time.Duration {
 	if bootMS <= 0 {
 		return 0
 	}
@@ -127,14 +127,14 @@
 }
 
 // take hands a transaction to the module, unless its id is that of one that is still open: its effect would happen twice.
-func (d *Desk) take(t *tx, profile int, budget time.Duration) (taken bool) {
+func (d *Dispatcher) take(t *tx, profile int, budget time.Duration) (taken bool) {
 	d.decide(func(now time.Duration) {
 		if taken = !d.open[t.said.Trace]; !taken {
 			return
 		}
 		d.open[t.said.Trace] = true
-		d.Book.Taken.Add(1)
-		d.Book.Open.Add(1)
+		d.Counters.Admitted.Add(1)
+		d.Counters.OpenTransactions.Add(1)
 		d.last++
 		t.id = d.last
 		d.txs[t.id] = t
@@ -144,7 +144,7 @@
 }
 
 // settled notes that a transaction has its final answer, or that nobody waits for one.
-func (d *Desk) settled(t *tx) {
+func (d *Dispatcher) settled(t *tx) {
 	t.answered = true
 	delete(d.open, t.said.Trace)
 	for _, h := range t.hops { // what no host has yet none needs to have, whether or not what runs may be called off
@@ -156,12 +156,12 @@
 }
 
 // left tells the module that a client has closed, if it still waits.
-func (d *Desk) left(t *tx) (waited bool) {
+func (d *Dispatcher) left(t *tx) (waited bool) {
 	d.decide(func(now time.Duration) {
 		if waited = !t.answered; waited {
 			d.settled(t)
-			d.Book.Left.Add(1)
-			d.Book.Open.Add(-1)
+			d.Counters.ClientLeft.Add(1)
+			d.Counters.OpenTransactions.Add(-1)
 			d.opened.ClientLeft(now, t.id)
 		}
 	})
@@ -169,16 +169,16 @@
 }
 
 // forget drops what is over. A transaction that was given up stays while hops of it are out.
-func (d *Desk) forget(t *tx) {
+func (d *Dispatcher) forget(t *tx) {
 	if t.answered && t.out == 0 {
 		delete(d.txs, t.id)
 	}
 }
 
-func (d *Desk) SetTimer(in time.Duration) { d.timer.Reset(in) }
+func (d *Dispatcher) SetTimer(in time.Duration) { d.timer.Reset(in) }
 
-func (d *Desk) Log(line string) {
-	if d.Book.says.allows() {
+func (d *Dispatcher) Log(line string) {
+	if d.Counters.says.allows() {
 		d.then(func() { slog.Info("module", "says", line) })
 	}
 }
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -29,7 +29,7 @@
 
 // stage is a gateway between stand-ins: hosts that do what a transaction's query says, and discovery.
 type stage struct {
-	*Desk
+	*Dispatcher
 	mu    sync.Mutex
 	lines []string
 	lists chan string // what discovery answers next, "" for 503
@@ -40,15 +40,15 @@
 func playBy(settings string, hosts ...string) *stage {
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
 	s := &stage{lists: make(chan string, 9)}
-	desk, err := Open([]byte(settings))
+	desk, err := NewDispatcher([]byte(settings))
 	if err == nil {
-		s.Desk = desk
+		s.Dispatcher = desk
 		var ln net.Listener
 		ln, err = net.Listen("tcp", "127.0.0.1:0")
-		desk.Listen(ln, false, 400, 0, 2<<20)
+		desk.ConfigureListener(ln, false, 400, 0, 2<<20)
 	}
 	if err == nil && desk.opened.Gateways == 2 { // more are not told of each other
-		err = desk.Join("127.0.0.1:0", []string{"127.0.0.1:9", "127.0.0.1:8"}, "")
+		err = desk.JoinPeers("127.0.0.1:0", []string{"127.0.0.1:9", "127.0.0.1:8"}, "")
 	}
 	if err != nil {
 		panic(err)
@@ -207,7 +207,7 @@
 }
 
 func (s *stage) untilRev(rev int64) {
-	s.until("list", func() bool { s.Desk.mu.Lock(); defer s.Desk.mu.Unlock(); return s.list.rev == rev })
+	s.until("list", func() bool { s.Dispatcher.mu.Lock(); defer s.Dispatcher.mu.Unlock(); return s.list.rev == rev })
 }
 
 func (s *stage) print() {
@@ -274,7 +274,7 @@
 		s.ask("read", "decline")
 	}
 	fmt.Println(s.lines[len(s.lines)-1])
-	fmt.Println("hops:", s.Book.Hops.Load(), "declined:", s.Book.Declined.Load(), "errors:", s.Book.Ends[logic.HopError].Load())
+	fmt.Println("hops:", s.Counters.Hops.Load(), "declined:", s.Counters.Declined.Load(), "errors:", s.Counters.HopOutcomes[logic.HopError].Load())
 	// Output:
 	// read decline: 400 "no such thing"
 	// hops: 10 declined: 10 errors: 0
@@ -287,7 +287,7 @@
 		s.ask("pay", "go")
 	}
 	s.print()
-	fmt.Println("connections that never came up:", s.Book.Ends[logic.HopNoConnection].Load() > 0)
+	fmt.Println("connections that never came up:", s.Counters.HopOutcomes[logic.HopNoConnection].Load() > 0)
 	// Output:
 	// one: POST /pay?go "hi"
 	// pay go: 200 "answer to go"
@@ -316,7 +316,7 @@
 	s.get(c, "second")
 	s.get(c, "third")
 	s.print()
-	fmt.Println("left:", s.Book.Left.Load(), "hops:", s.Book.Hops.Load())
+	fmt.Println("left:", s.Counters.ClientLeft.Load(), "hops:", s.Counters.Hops.Load())
 	// Output:
 	// one: POST /pay?wait "hi"
 	// one: given up
@@ -365,8 +365,8 @@
 	s.told(netip.MustParseAddrPort("127.0.0.1:8"), make([]byte, 8)) // no whole number of hosts
 	s.told(netip.MustParseAddrPort("127.0.0.1:8"), make([]byte, 10))
 	s.print()
-	fmt.Println("wrong:", s.Book.Wrong.Load(), "taken:", s.Book.Taken.Load(), "told:", s.Book.Told.Load(), "dropped:",
-		s.Book.ToldWrong.Load())
+	fmt.Println("wrong:", s.Counters.InvalidInputs.Load(), "taken:", s.Counters.Admitted.Load(), "told:", s.Counters.PeerMessagesReceived.Load(), "dropped:",
+		s.Counters.PeerMessagesInvalid.Load())
 	// Output:
 	// "POST /nothing?go": 400 "unknown profile", the last
 	// "GET /read?go": 400 "wrong length", the last
@@ -430,7 +430,7 @@
 	}
 	s.lists <- `{"rev":6,"targets":[{"uid":"one","state":"asleep"}]}`
 	s.lists <- ""
-	s.until("two lists lost", func() bool { return s.Book.ListsLost.Load() == 2 })
+	s.until("two lists lost", func() bool { return s.Counters.ListCallsFailed.Load() == 2 })
 	s.ask("read", "go")
 	s.lists <- `{"rev":7,"all":true,"targets":[]}`
 	s.untilRev(7)
@@ -466,7 +466,7 @@
 	for range 4 {
 		s.lists <- `{"rev":5,"targets":[]}`
 	}
-	s.until("five more calls", func() bool { return s.Book.Lists.Load() >= 6 })
+	s.until("five more calls", func() bool { return s.Counters.ListCalls.Load() >= 6 })
 	fmt.Println("pauses:", time.Since(began) >= 4*hurry)
 	// Output:
 	// one: GET /read?go ""
@@ -480,7 +480,7 @@
 // brings is passed over, and its end is no lost list.
 func Example_rediscover() {
 	s := play("one", "two")
-	s.until("a call", func() bool { return s.Book.Lists.Load() == 1 })
+	s.until("a call", func() bool { return s.Counters.ListCalls.Load() == 1 })
 	lists := make(chan string, 1)
 	moved := s.listen(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
@@ -497,11 +497,11 @@
 	s.untilRev(3)
 	s.ask("read", "go")
 	s.print()
-	s.until("a watch", func() bool { return s.Book.Lists.Load() == 3 })
+	s.until("a watch", func() bool { return s.Counters.ListCalls.Load() == 3 })
 	lists <- `{"rev":5,"targets":[]}`
 	s.untilRev(5)
 	s.print()
-	fmt.Println("lost:", s.Book.ListsLost.Load())
+	fmt.Println("lost:", s.Counters.ListCallsFailed.Load())
 	// Output:
 	// moved to: /v1/endpoints
 	// read go: 503 "rolled back"
@@ -517,7 +517,7 @@
 		id, ok := l.number(uid)
 		fmt.Println(uid, id, ok)
 	}
-	d := &Desk{began: time.UnixMilli(1_000_000_000)}
+	d := &Dispatcher{began: time.UnixMilli(1_000_000_000)}
 	fmt.Println(d.since(0), d.since(1_000_000_000-2_500), d.since(1_000_000_000+500), d.since(5))
 	// Output:
 	// plumless 1306201125 true
--- a/internal/routing/run.go
+++ b/internal/routing/run.go
@@ -19,9 +19,9 @@
 	"spanmux/logic"
 )
 
-// Listen opens the gateway to clients, with room for so many sockets, those that are used beside clients and hosts among
+// ConfigureListener opens the gateway to clients, with room for so many sockets, those that are used beside clients and hosts among
 // them, and within so many bytes of memory. Where other processes share the listener they share both.
-func (d *Desk) Listen(ln net.Listener, shared bool, sockets, beside int, memory int64) {
+func (d *Dispatcher) ConfigureListener(ln net.Listener, shared bool, sockets, beside int, memory int64) {
 	memory, sockets = cmp.Or(memory, usualMemory), cmp.Or(sockets, usualSockets)
 	if d.shared = shared; shared {
 		memory /= 2
@@ -45,8 +45,8 @@
 	}
 }
 
-// Join opens the ways to the other gateways. While the address is in use, as the process before this one ends, it is tried again.
-func (d *Desk) Join(listen string, peers []string, all string) (err error) {
+// JoinPeers opens the ways to the other gateways. While the address is in use, as the process before this one ends, it is tried again.
+func (d *Dispatcher) JoinPeers(listen string, peers []string, all string) (err error) {
 	t := tells{number: map[netip.AddrPort]int{}}
 	for i, peer := range peers {
 		at, err := netip.ParseAddrPort(peer)
@@ -77,7 +77,7 @@
 	return err
 }
 
-func (d *Desk) joinLater(listen string, t tells) {
+func (d *Dispatcher) joinLater(listen string, t tells) {
 	for err := error(syscall.EADDRINUSE); err != nil; t.socket, err = transport.ListenDatagrams(listen, len(t.others)) {
 		time.Sleep(joinAgain)
 		if d.closing.Load() {
@@ -88,7 +88,7 @@
 }
 
 // joined takes the ways into use.
-func (d *Desk) joined(t tells) {
+func (d *Dispatcher) joined(t tells) {
 	d.mu.Lock()
 	d.tells = t
 	d.mu.Unlock()
@@ -96,7 +96,7 @@
 }
 
 // Start starts the decisions. Discovery is asked at its address; known is the list as it was last had.
-func (d *Desk) Start(seed uint64, discovery string, known *protocol.List) {
+func (d *Dispatcher) Start(seed uint64, discovery string, known *protocol.List) {
 	d.began, d.list.line = time.Now(), &transport.Line{Addr: discovery}
 	d.list.jitter = rand.New(rand.NewPCG(seed, uint64(d.opened.Me))) // gateways that share a seed are not to call in step
 	d.list.backoff = time.AfterFunc(time.Hour, func() { d.decide(func(time.Duration) { d.ask() }) })
@@ -119,7 +119,7 @@
 }
 
 // Serve takes in clients until Close. Of a listener that is shared nothing is taken before it can be answered.
-func (d *Desk) Serve() {
+func (d *Dispatcher) Serve() {
 	if d.shared {
 		<-d.listed
 		time.AfterFunc(besideFor, func() {
@@ -132,15 +132,15 @@
 	d.listener.Serve(d.client)
 }
 
-// Retuned checks settings that are to follow those in force; it changes nothing.
-func (d *Desk) Retuned(settings []byte, peers int) (*given.Retuning, error) {
+// CheckSettings checks settings that are to follow those in force; it changes nothing.
+func (d *Dispatcher) CheckSettings(settings []byte, peers int) (*given.Retuning, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.opened.Retuned(settings, peers)
 }
 
-// Retune takes settings into force, and discovery's address with them.
-func (d *Desk) Retune(to *given.Retuning, discovery string) {
+// ApplySettings takes settings into force, and discovery's address with them.
+func (d *Dispatcher) ApplySettings(to *given.Retuning, discovery string) {
 	d.decide(func(now time.Duration) {
 		d.opened.Retune(now, to)
 		d.named()
@@ -149,13 +149,13 @@
 }
 
 // Ready tells whether this process takes clients.
-func (d *Desk) Ready() bool { return d.ready.Load() && d.serving.Load() && !d.sendsAway() }
+func (d *Dispatcher) Ready() bool { return d.ready.Load() && d.serving.Load() && !d.sendsAway() }
 
 // sendsAway tells whether answers are to say that their connection closes.
-func (d *Desk) sendsAway() bool { return d.closing.Load() || d.listener.Draining() }
+func (d *Dispatcher) sendsAway() bool { return d.closing.Load() || d.listener.Draining() }
 
-// Drain sends clients away, or takes them again; once the gateway ends it takes none.
-func (d *Desk) Drain(away bool) bool {
+// SetDraining sends clients away, or takes them again; once the gateway ends it takes none.
+func (d *Dispatcher) SetDraining(away bool) bool {
 	if d.closing.Load() {
 		return away
 	}
@@ -165,7 +165,7 @@
 }
 
 // Close ends the gateway: connections go on coming for a while, or to another process, then all that is taken is answered.
-func (d *Desk) Close() {
+func (d *Dispatcher) Close() {
 	began := time.Now()
 	d.closing.Store(true)
 	if d.shared {
@@ -203,7 +203,7 @@
 }
 
 // giveUp answers what is open as the process is about to be ended: what may have run yet, and has no answer then, would be lost.
-func (d *Desk) giveUp() {
+func (d *Dispatcher) giveUp() {
 	d.decide(func(now time.Duration) {
 		for _, id := range slices.Sorted(maps.Keys(d.txs)) {
 			if t := d.txs[id]; !t.answered {
--- a/internal/routing/send.go
+++ b/internal/routing/send.go
@@ -28,7 +28,7 @@
 }
 
 // SendHop sends the transaction. A host whose address is not known can't be reached.
-func (d *Desk) SendHop(id logic.TxID, host logic.HostID, wait time.Duration) {
+func (d *Dispatcher) SendHop(id logic.TxID, host logic.HostID, wait time.Duration) {
 	t := d.txs[id]
 	h := &hop{t: t, host: host, to: d.list.target(host), number: len(t.hops), sent: time.Now()}
 	t.hops = append(t.hops, h)
@@ -50,27 +50,27 @@
 		},
 		Written: func() {
 			h.whole = true
-			d.Book.Written.Add(1)
+			d.Counters.HopsWritten.Add(1)
 		},
 		Done: func(how transport.How) { d.ended(h, how) },
 	}
 	if t.said.Rest != nil {
 		h.exchange.Rest = func(r *transport.Rest) bool { return d.feeds(h, r, wait) }
 	}
-	d.Book.Hops.Add(1)
+	d.Counters.Hops.Add(1)
 	d.start(h.to, h.exchange, len(t.said.Body) > protocol.BodyMost)
 }
 
 // wants tells whether a hop is still to be sent: somebody waits for its transaction, and its host takes what is new. A connection may
 // be long in coming up; by then its client may have gone, or the grace of a drain be over.
-func (d *Desk) wants(h *hop) bool {
+func (d *Dispatcher) wants(h *hop) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return !h.t.answered && d.list.takes(h.host)
 }
 
 // unsent ends a hop that can't be sent; it never ran, and says nothing of its host.
-func (d *Desk) unsent(h *hop) {
+func (d *Dispatcher) unsent(h *hop) {
 	d.decide(func(now time.Duration) {
 		h.t.out--
 		d.opened.HopEnded(now, h.t.id, h.number, logic.HopResult{Outcome: logic.HopNotSent, Load: logic.NoLoadReport}, h.t.answered)
@@ -79,7 +79,7 @@
 }
 
 // feeds has the rest of a body written to the host whose connection is up, unless some of it has gone to another.
-func (d *Desk) feeds(h *hop, r *transport.Rest, wait time.Duration) bool {
+func (d *Dispatcher) feeds(h *hop, r *transport.Rest, wait time.Duration) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if h.t.passed || h.t.answered {
@@ -115,7 +115,7 @@
 
 // readEarly reads a body while its host is not there, as long as there is room: without that the client's end would be seen by nobody that
 // stands behind more than a socket holds.
-func (d *Desk) readEarly(t *tx, e *early, piece []byte, until func() bool) {
+func (d *Dispatcher) readEarly(t *tx, e *early, piece []byte, until func() bool) {
 	for e.err == nil && len(e.pieces) < earlyMost/pieceBytes && !until() && d.roomFor(pieceBytes) {
 		n, err := t.client.ReadWhileWaiting(until, func() (int, error) { return t.said.Rest.Read(piece) })
 		if n > 0 {
@@ -131,7 +131,7 @@
 }
 
 // feed passes on the rest of a body as it comes; it is false where the connection ends.
-func (d *Desk) feed(t *tx) bool {
+func (d *Dispatcher) feed(t *tx) bool {
 	piece := pieces.Get().(*[pieceBytes]byte)
 	defer pieces.Put(piece)
 	var to *transport.Rest
@@ -214,7 +214,7 @@
 }
 
 // breaks ends with a body that does not come to its end: its client has left, or what it sends makes no sense.
-func (d *Desk) breaks(t *tx, err error) bool {
+func (d *Dispatcher) breaks(t *tx, err error) bool {
 	if d.left(t) {
 		if err != nil {
 			d.answerWrong(t.client, err)
@@ -229,7 +229,7 @@
 
 // start begins an exchange with a host once the lock is left. A long message may wait for its host to take it, and whoever is here then
 // has others to see to: the module's timer, or what gateways tell.
-func (d *Desk) start(to transport.Target, x *transport.Exchange, long bool) {
+func (d *Dispatcher) start(to transport.Target, x *transport.Exchange, long bool) {
 	d.then(func() {
 		if to.Addr == "" {
 			x.Done(transport.NeverUp)
@@ -243,7 +243,7 @@
 
 // roomFor takes room for a body over the usual size that is held whole like others: many at once, sent slowly by their clients,
 // would take all memory.
-func (d *Desk) roomFor(bytes int) bool {
+func (d *Dispatcher) roomFor(bytes int) bool {
 	if d.large.Add(-int64(bytes)) >= 0 {
 		return true
 	}
@@ -251,26 +251,26 @@
 	return false
 }
 
-func (d *Desk) CallOff(id logic.TxID, number int) {
+func (d *Dispatcher) CallOff(id logic.TxID, number int) {
 	if h := d.txs[id].hops[number]; h.exchange != nil { // else it was never sent
 		d.then(h.exchange.GiveUp)
 	}
 }
 
 // closeGone closes what is idle to a host that has gone from the list: what was out there as that was told has just fallen idle.
-func (d *Desk) closeGone(to transport.Target) {
+func (d *Dispatcher) closeGone(to transport.Target) {
 	if d.list.target(logic.HostID(to.Host)) != to {
 		d.then(func() { d.pool.Close(to) })
 	}
 }
 
-func (d *Desk) CloseIdleConnections(host logic.HostID) {
+func (d *Dispatcher) CloseIdleConnections(host logic.HostID) {
 	to := d.list.target(host)
 	d.then(func() { d.pool.Close(to) })
 }
 
-func (d *Desk) Probe(host logic.HostID) {
-	d.Book.Probes.Add(1)
+func (d *Dispatcher) Probe(host logic.HostID) {
+	d.Counters.Probes.Add(1)
 	load, reported := logic.NoLoadReport, false
 	to := d.list.target(host)
 	d.start(to, &transport.Exchange{
@@ -282,7 +282,7 @@
 			if err == nil && answer.Status == 200 {
 				var wrong error
 				if load, wrong = protocol.Load(answer.Body); wrong != nil {
-					d.Book.wrong(wrong.Error())
+					d.Counters.wrong(wrong.Error())
 				}
 				reported = wrong == nil
 			}
@@ -290,7 +290,7 @@
 		},
 		Done: func(how transport.How) {
 			if how == transport.Answered && reported {
-				d.Book.Probed.Add(1)
+				d.Counters.ProbesAnswered.Add(1)
 			} else {
 				load = logic.NoLoadReport
 			}
--- a/internal/routing/size_test.go
+++ b/internal/routing/size_test.go
@@ -72,10 +72,10 @@
 }
 
 // openDesk opens a gateway with so many sockets; it has no list yet.
-func openDesk(t *testing.T, settings string, sockets int) *Desk {
+func openDesk(t *testing.T, settings string, sockets int) *Dispatcher {
 	t.Helper()
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
-	d, err := Open([]byte(settings))
+	d, err := NewDispatcher([]byte(settings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -84,7 +84,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	d.Listen(ln, false, sockets, 0, 64<<20)
+	d.ConfigureListener(ln, false, sockets, 0, 64<<20)
 	return d
 }
 
@@ -150,7 +150,7 @@
 	lists <- marshal(t, protocol.List{Rev: 2 + largeFleet, Targets: largeHosts(5000, "in_service")})
 	eventually(t, time.Second, "all are back", func() bool { hosts, draining, _ := known(); return hosts == largeFleet && draining == 0 })
 	var shown struct{ Discovered, Ejected int }
-	if err := json.Unmarshal(d.Figures(), &shown); err != nil || shown.Discovered != largeFleet || shown.Ejected != 0 {
+	if err := json.Unmarshal(d.MetricsJSON(), &shown); err != nil || shown.Discovered != largeFleet || shown.Ejected != 0 {
 		t.Errorf("figures: %+v, %v", shown, err)
 	}
 	lists <- marshal(t, protocol.List{Rev: 3 + largeFleet, All: true})
@@ -173,9 +173,9 @@
 }
 
 // join joins a gateway to the others until the test ends: their ports may be another test's then.
-func join(t *testing.T, d *Desk, own string, addrs []string) {
+func join(t *testing.T, d *Dispatcher, own string, addrs []string) {
 	t.Helper()
-	if err := d.Join(own, addrs, ""); err != nil {
+	if err := d.JoinPeers(own, addrs, ""); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { d.tells.socket.Close() })
@@ -246,8 +246,8 @@
 		answered[held[0].Host]++
 	}
 	t.Logf("%d asks answered within %v", len(peers), time.Since(asked))
-	if told := d.Book.Told.Load(); told != 2*int64(len(peers)) || d.Book.ToldWrong.Load() != 0 {
-		t.Errorf("%d datagrams taken, %d dropped", told, d.Book.ToldWrong.Load())
+	if told := d.Counters.PeerMessagesReceived.Load(); told != 2*int64(len(peers)) || d.Counters.PeerMessagesInvalid.Load() != 0 {
+		t.Errorf("%d datagrams taken, %d dropped", told, d.Counters.PeerMessagesInvalid.Load())
 	}
 	if len(answered) < largeFleet/4 {
 		t.Errorf("only %d hosts are drawn", len(answered))
@@ -283,7 +283,7 @@
 			t.Fatalf("gateway %d has %d datagrams of %d, %d hosts of %d", i+1, len(got), messages, len(read), len(held))
 		}
 	}
-	if n := d.Book.Untold.Load(); n != 0 {
+	if n := d.Counters.PeerMessagesUnsent.Load(); n != 0 {
 		t.Errorf("%d datagrams not sent", n)
 	}
 	d.decide(func(time.Duration) { d.SendPeerMessage(largeFleet-1, held[:1]) })
@@ -310,12 +310,12 @@
 		}
 		before.opened.ImportLearned(now, what, 0)
 	})
-	if err := before.Succeed(path); err != nil {
+	if err := before.ListenForHandover(path); err != nil {
 		t.Fatal(err)
 	}
 	began := time.Now()
 	after := openDesk(t, largeSettings(), 400)
-	if err := after.Succeed(path); err != nil {
+	if err := after.ListenForHandover(path); err != nil {
 		t.Fatal(err)
 	}
 	t.Logf("%d bytes handed over within %v", len(before.learned()), time.Since(began))
--- a/internal/routing/stream_test.go
+++ b/internal/routing/stream_test.go
@@ -52,7 +52,7 @@
 // An answer over the usual size goes on as it comes, in each form that hosts have for its end, also to a client that reads slowly,
 // and the first bytes do not wait for the last. One that breaks off does so for its client too; one that is too long, or may not pass,
 // may have run. The module hears no more of it once it has begun.
-func ExampleDesk_stream() {
+func ExampleDispatcher_stream() {
 	goOn := make(chan bool)
 	s := playScripted(func(nc net.Conn, head *http.Request) {
 		long := bytesOf(3 * megabyte)
@@ -131,7 +131,7 @@
 	get("torn-chunks", "HTTP/1.0", false)
 	get("error", "HTTP/1.1", false)
 	get("too-long", "HTTP/1.1", false)
-	fmt.Println("streamed:", s.Book.Streamed.Load(), "cut off:", s.Book.CutOff.Load(), "open:", s.Book.Open.Load(), len(s.txs))
+	fmt.Println("streamed:", s.Counters.ResponsesStreamed.Load(), "cut off:", s.Counters.ResponsesCutOff.Load(), "open:", s.Counters.OpenTransactions.Load(), len(s.txs))
 	// Output:
 	// sized HTTP/1.1 200 3145728 [] 3145728 true
 	// sized HTTP/1.0 200 3145728 [] 3145728 true
@@ -151,7 +151,7 @@
 // A body that is too long to be held is passed on as it comes, and the time of its transaction counts from its last byte. A host that
 // answers before that is heard, and both connections close; a client that breaks off, or sends too slowly or what makes no sense, has
 // not had it run.
-func ExampleDesk_feed() {
+func ExampleDispatcher_feed() {
 	ends := make(chan string, 9)
 	s := playScripted(func(nc net.Conn, head *http.Request) {
 		if head.URL.RawQuery == "early" {
@@ -207,7 +207,7 @@
 	s.get(c, "stops")
 	s.say("%s", <-ends)
 	s.print()
-	fmt.Println("written whole:", s.Book.Written.Load(), "open:", s.Book.Open.Load())
+	fmt.Println("written whole:", s.Counters.HopsWritten.Load(), "open:", s.Counters.OpenTransactions.Load())
 	// Output:
 	// sized: 200 "3145728 []"
 	// chunked: 200 "3145728 [chunked]"
@@ -223,7 +223,7 @@
 
 // Of a body that can't be sent again only a hop that never was up may be followed by another; one that broke within it is rolled
 // back at once.
-func ExampleDesk_feed_again() {
+func ExampleDispatcher_feed_again() {
 	s := play()
 	breaks := s.scripted(func(nc net.Conn, head *http.Request) {
 		io.CopyN(io.Discard, head.Body, 200_000)
@@ -240,7 +240,7 @@
 		s.get(c, "breaks")
 	}
 	s.print()
-	fmt.Println("written whole:", s.Book.Written.Load(), "never up:", s.Book.Ends[4].Load() > 3)
+	fmt.Println("written whole:", s.Counters.HopsWritten.Load(), "never up:", s.Counters.HopOutcomes[4].Load() > 3)
 	// Output:
 	// breaks: 503 "rolled back", the last
 	// breaks: 503 "rolled back", the last
@@ -251,7 +251,7 @@
 // An answer that does not say its size and comes slowly goes on as it comes, and not only once 64 KiB are there: held until then, it
 // would be cut off as its transaction's time is up while its host still gives it. Pauses fall where they hurt most: within a chunk's
 // length, before its end, within the end of all.
-func ExampleDesk_stream_slowly() {
+func ExampleDispatcher_stream_slowly() {
 	s := playScripted(func(nc net.Conn, head *http.Request) {
 		io.WriteString(nc, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 		for _, piece := range []string{"", "1", "0\r\n0123456789", "abcdef", "\r", "\n5\r", "\nvwxyz\r\n0", "\r\nTrailer: t", "\r\n\r", "\n"} {
@@ -295,7 +295,7 @@
 // A host that drains goes as soon as it has written all, and what its socket holds goes with it: a client that takes nothing
 // meanwhile had lost the end, or all that the host gave before it broke off. The host goes on once it is told that it drains, and
 // resets its connection once its socket holds nothing.
-func ExampleDesk_stream_fromWhatDrains() {
+func ExampleDispatcher_stream_fromWhatDrains() {
 	// What a machine takes in for a program is bounded by it. The whole is far over what comes along without being asked for, if it can be.
 	most, all := 0, 3*megabyte
 	if text, err := os.ReadFile("/proc/sys/net/core/rmem_max"); err == nil {
@@ -360,7 +360,7 @@
 // An answer that says neither its length nor its chunks is whole where its host closes the connection, and broken off where that is reset. The
 // order that lost requests: the host drains, so the gateway looks whether more has come, and the reset is there as it looks. On Linux a look
 // takes a connection's error with it, and the next read finds a proper end.
-func ExampleDesk_stream_resetWithoutLength() {
+func ExampleDispatcher_stream_resetWithoutLength() {
 	const all = megabyte
 	for _, end := range []string{"closed", "reset"} {
 		s := play()
@@ -388,7 +388,7 @@
 			panic(err)
 		}
 		n, err := io.Copy(io.Discard, answer.Body)
-		fmt.Printf("%s: client has all that came: %v, whole: %v, cut off: %d\n", end, n == all, err == nil, s.Book.CutOff.Load())
+		fmt.Printf("%s: client has all that came: %v, whole: %v, cut off: %d\n", end, n == all, err == nil, s.Counters.ResponsesCutOff.Load())
 		c.Close()
 	}
 	// Output:
@@ -398,7 +398,7 @@
 
 // A client closes while its answer is under way and its host has fallen silent: the host's connection is given up at once. It was kept for the
 // ten seconds for which a host may be silent, each time that a client gave up on such an answer.
-func ExampleDesk_stream_clientLeaves() {
+func ExampleDispatcher_stream_clientLeaves() {
 	silent, ended := make(chan bool), make(chan time.Time)
 	s := playScripted(func(nc net.Conn, head *http.Request) {
 		fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\n\r\n%s", bytesOf(80_000))
@@ -417,7 +417,7 @@
 	left := time.Now()
 	c.Close()
 	fmt.Println("host's connection given up within a second:", (<-ended).Sub(left) < time.Second)
-	s.until("nothing is open", func() bool { return s.Book.Open.Load() == 0 && s.listener.OpenClients() == 0 })
+	s.until("nothing is open", func() bool { return s.Counters.OpenTransactions.Load() == 0 && s.listener.OpenClients() == 0 })
 	// Output:
 	// host's connection given up within a second: true
 }
--- a/internal/routing/takein.go
+++ b/internal/routing/takein.go
@@ -12,7 +12,7 @@
 )
 
 // client takes in what comes on a client's connection, one transaction after the other.
-func (d *Desk) client(c *transport.Client) {
+func (d *Dispatcher) client(c *transport.Client) {
 	var head protocol.Head
 	for {
 		err := c.AwaitRequest()
@@ -26,7 +26,7 @@
 }
 
 // next takes in one message; it is false where the connection ends.
-func (d *Desk) next(c *transport.Client, head *protocol.Head) bool {
+func (d *Dispatcher) next(c *transport.Client, head *protocol.Head) bool {
 	held := 0
 	defer func() { d.large.Add(int64(held)) }()
 	said, err := protocol.ReadTransaction(c.Reader, head, func() error { return c.Write(net.Buffers{protocol.GoOn}) },
@@ -47,7 +47,7 @@
 	case !c.MarkActive():
 		return false
 	case c.PeerClosed(): // while it waited behind another, or to be accepted
-		d.Book.LeftBefore.Add(1)
+		d.Counters.ClientLeftBeforeAdmission.Add(1)
 		return false
 	case said.Own != "":
 		said.Close = said.Close || d.sendsAway() || said.Rest != nil
@@ -74,20 +74,20 @@
 }
 
 // answerWrong answers what can't be understood; the connection can't be read on.
-func (d *Desk) answerWrong(c *transport.Client, err error) {
+func (d *Dispatcher) answerWrong(c *transport.Client, err error) {
 	wrong := protocol.WrongOf(err)
 	if wrong == nil {
 		if !errors.Is(err, io.EOF) {
-			d.Book.ClientBroke.Add(1)
+			d.Counters.ClientReadErrors.Add(1)
 		}
 		return
 	}
-	d.Book.wrong(wrong.What, slog.Int("status", wrong.Status))
+	d.Counters.wrong(wrong.What, slog.Int("status", wrong.Status))
 	c.WriteFinal(protocol.Plain(wrong.Status, wrong.What+"\n", 0, true))
 }
 
 // own answers a call to the gateway itself.
-func (d *Desk) own(c *transport.Client, said *protocol.Transaction) error {
+func (d *Dispatcher) own(c *transport.Client, said *protocol.Transaction) error {
 	status, text := 404, "not here\n"
 	switch said.Own {
 	case protocol.ReadyTarget:
@@ -95,7 +95,7 @@
 			status, text = 200, "ready\n"
 		}
 	case "/counters":
-		status, text = 200, d.Counters()
+		status, text = 200, d.CountersText()
 	}
 	return c.Write(bare(said, protocol.Plain(status, text, 0, said.Close)))
 }
--- a/internal/routing/tell.go
+++ b/internal/routing/tell.go
@@ -21,7 +21,7 @@
 }
 
 // SendPeerMessage sends datagrams to one gateway or, with -1, to all others.
-func (d *Desk) SendPeerMessage(gateway int, held []logic.PeerEntry) {
+func (d *Dispatcher) SendPeerMessage(gateway int, held []logic.PeerEntry) {
 	if d.tells.socket == nil {
 		return
 	}
@@ -31,12 +31,12 @@
 	} else if !d.tells.all.IsValid() {
 		to = d.tells.others
 	}
-	d.Book.Asks.Add(kinds(held, logic.EntryPickRequest))
+	d.Counters.PickRequests.Add(kinds(held, logic.EntryPickRequest))
 	socket := d.tells.socket
 	for msg := range d.opened.Messages(held) {
 		must.Hold(len(msg) <= given.MostBytes, "a datagram within its bound")
 		for _, at := range to {
-			d.Book.Tells.Add(1)
+			d.Counters.PeerMessages.Add(1)
 			d.then(func() { d.sendTell(socket, at, msg) })
 		}
 	}
@@ -52,17 +52,17 @@
 	return n
 }
 
-func (d *Desk) sendTell(socket *transport.Datagrams, at netip.AddrPort, msg []byte) {
+func (d *Dispatcher) sendTell(socket *transport.Datagrams, at netip.AddrPort, msg []byte) {
 	if err := socket.Send(at, msg); err != nil {
-		d.Book.Untold.Add(1)
-		if d.Book.lines.allows() {
+		d.Counters.PeerMessagesUnsent.Add(1)
+		if d.Counters.lines.allows() {
 			slog.Warn("not told", "to", at, "error", err)
 		}
 	}
 }
 
 // told takes what another gateway tells.
-func (d *Desk) told(addr netip.AddrPort, msg []byte) {
+func (d *Dispatcher) told(addr netip.AddrPort, msg []byte) {
 	d.mu.Lock()
 	from, known := d.tells.number[addr]
 	var held []logic.PeerEntry
@@ -72,13 +72,13 @@
 	}
 	d.mu.Unlock()
 	if !known || err != nil || len(msg) > given.MostBytes {
-		d.Book.ToldWrong.Add(1)
-		if d.Book.lines.allows() {
+		d.Counters.PeerMessagesInvalid.Add(1)
+		if d.Counters.lines.allows() {
 			slog.Warn("datagram dropped", "from", addr, "known", known, "bytes", len(msg), "error", err)
 		}
 		return
 	}
-	d.Book.Told.Add(1)
-	d.Book.AsksAnswered.Add(kinds(held, logic.EntryPickResponse))
+	d.Counters.PeerMessagesReceived.Add(1)
+	d.Counters.PickResponses.Add(kinds(held, logic.EntryPickResponse))
 	d.decide(func(now time.Duration) { d.opened.PeerMessageReceived(now, from, held) })
 }
--- a/internal/routing/told_test.go
+++ b/internal/routing/told_test.go
@@ -470,7 +470,7 @@
 	}
 	s.untilRev(5)
 	began := time.Now()
-	s.until("five more calls", func() bool { return s.Book.Lists.Load() >= 6 })
+	s.until("five more calls", func() bool { return s.Counters.ListCalls.Load() >= 6 })
 	fmt.Println("pauses:", time.Since(began) >= 4*hurry)
 	// Output: pauses: true
 }
@@ -483,7 +483,7 @@
 	refuses := s.listen(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(503) }))
 	s.decide(func(time.Duration) { s.rediscover(refuses) })
 	time.Sleep(9 * time.Second)
-	calls := s.Book.Lists.Load() // by the backoff no more than one a second, by the module as many at the most
+	calls := s.Counters.ListCalls.Load() // by the backoff no more than one a second, by the module as many at the most
 	fmt.Println("had again:", calls >= 4, "no more than both would:", calls <= 18)
 	// Output: had again: true no more than both would: true
 }
--- a/internal/routing/watch.go
+++ b/internal/routing/watch.go
@@ -41,13 +41,13 @@
 }
 
 // RequestHostList begins a watch, as the module asks.
-func (d *Desk) RequestHostList() {
+func (d *Dispatcher) RequestHostList() {
 	d.list.owed = false
 	d.ask()
 }
 
 // ask begins a watch; one that goes on already brings what there is.
-func (d *Desk) ask() {
+func (d *Dispatcher) ask() {
 	if !d.list.watching {
 		d.list.watching = true
 		line := d.list.line
@@ -58,7 +58,7 @@
 // rediscover has the list asked for at another address from now on. The call that is out at the old one may wait for
 // long yet; until the new one is heard, hosts that go by what it brings do go, and nothing else that it brings, nor its end, says
 // anything any more. Versions may not go on there: the first call is for all.
-func (d *Desk) rediscover(addr string) {
+func (d *Dispatcher) rediscover(addr string) {
 	if addr == d.list.line.Addr {
 		return
 	}
@@ -68,7 +68,7 @@
 	d.ask()
 }
 
-func (d *Desk) closeOld() {
+func (d *Dispatcher) closeOld() {
 	if d.list.old != nil {
 		d.then(d.list.old.Close)
 		d.list.old = nil
@@ -79,7 +79,7 @@
 // before, only what goes. One that is older than what is in hand, as a discovery that has begun anew or lags behind may answer, is
 // not taken: all is asked for. Where that is older too the numbers begin anew; a host that was said to drain, and has not started
 // since, does so still.
-func (d *Desk) dated(line *transport.Line, kind logic.ListKind, list *protocol.List) bool {
+func (d *Dispatcher) dated(line *transport.Line, kind logic.ListKind, list *protocol.List) bool {
 	older := list.Rev < d.list.rev
 	switch {
 	case line == d.list.old:
@@ -91,7 +91,7 @@
 	case line != d.list.line:
 		return false
 	case older && d.list.has && kind != logic.ListCached:
-		d.Book.ListsOlder.Add(1)
+		d.Counters.ListsStale.Add(1)
 		d.list.has = false
 		return false
 	}
@@ -115,7 +115,7 @@
 // watch calls for the list until a call is lost. The next call comes at once, so that the watch goes on. One that fell silent, or was
 // broken off, says nothing against discovery, and what it missed counts as told soon: it is had again at once, and only the next loss is
 // for the module. One that was refused is that already: discovery is down, or has too many callers.
-func (d *Desk) watch(line *transport.Line) {
+func (d *Dispatcher) watch(line *transport.Line) {
 	for again := false; ; {
 		d.mu.Lock()
 		target, wait, late, current, rev := protocol.ListTarget, time.Duration(0), callLate, d.list.line == line, d.list.rev
@@ -130,7 +130,7 @@
 		called := time.Now()
 		list, err := d.callList(line, target, wait+late)
 		if again = err != nil && !again && wait > 0 && cutOff(err); again {
-			d.Book.ListsAgain.Add(1)
+			d.Counters.ListCallsRetried.Add(1)
 			continue
 		}
 		if err != nil {
@@ -154,13 +154,13 @@
 // and after a backoff at the latest. Where there are many gateways the module lets up to half of the time pass for which a gateway need not
 // ask at all, which is longer than a change takes to count as told. Of a list that is pushed what comes at discovery's return counts at once:
 // it is called for all the time.
-func (d *Desk) lost(line *transport.Line, err error, out time.Duration) (over bool) {
+func (d *Dispatcher) lost(line *transport.Line, err error, out time.Duration) (over bool) {
 	pause := time.Duration(0)
 	d.decide(func(now time.Duration) {
 		if over = d.list.line != line || !d.opened.Pushed; d.list.line == line {
 			d.list.watching = !over
-			d.Book.ListsLost.Add(1)
-			if d.Book.lines.allows() {
+			d.Counters.ListCallsFailed.Add(1)
+			if d.Counters.lines.allows() {
 				d.then(func() { slog.Warn("list lost", "error", err) })
 			}
 			if over {
@@ -189,8 +189,8 @@
 		errors.Is(err, syscall.EPIPE) || protocol.Torn(err)
 }
 
-func (d *Desk) callList(line *transport.Line, target string, within time.Duration) (list *protocol.List, err error) {
-	d.Book.Lists.Add(1)
+func (d *Dispatcher) callList(line *transport.Line, target string, within time.Duration) (list *protocol.List, err error) {
+	d.Counters.ListCalls.Add(1)
 	err = line.Call(protocol.Call(target, line.Addr), within, func(r *bufio.Reader) (bool, error) {
 		body, status, keep, err := protocol.ReadList(r)
 		if err == nil && status != 200 {
@@ -205,7 +205,7 @@
 }
 
 // takeList hands a list to the module, unless discovery has moved since it was called for.
-func (d *Desk) takeList(line *transport.Line, kind logic.ListKind, list *protocol.List) {
+func (d *Dispatcher) takeList(line *transport.Line, kind logic.ListKind, list *protocol.List) {
 	d.decide(func(now time.Duration) {
 		if !d.dated(line, kind, list) {
 			return
--- a/tools/scale/check_test.go
+++ b/tools/scale/check_test.go
@@ -119,7 +119,7 @@
 			again <- struct{}{}
 			<-r.Context().Done()
 		}))
-		d, err := routing.Open(settings(target["gateways"], usualProfiles, 0))
+		d, err := routing.NewDispatcher(settings(target["gateways"], usualProfiles, 0))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -127,7 +127,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.Listen(ln, false, 400, 0, 64<<20)
+		d.ConfigureListener(ln, false, 400, 0, 64<<20)
 		d.Start(7, discovery.Listener.Addr().String(), nil)
 		go d.Serve()
 		select {
--- a/tools/scale/desk.go
+++ b/tools/scale/desk.go
@@ -28,7 +28,7 @@
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
 	defer slog.SetDefault(was)
 	known := list(n)
-	d, err := routing.Open(settings(target["gateways"], usualProfiles, 0))
+	d, err := routing.NewDispatcher(settings(target["gateways"], usualProfiles, 0))
 	if err != nil {
 		return nil, err
 	}
@@ -36,7 +36,7 @@
 	if err != nil {
 		return nil, err
 	}
-	d.Listen(ln, false, 400, 0, 64<<20)
+	d.ConfigureListener(ln, false, 400, 0, 64<<20)
 	calls := make(chan time.Time)
 	answers := make(chan []byte)
 	told := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
