--- a/cmd/spanmux/main.go
+++ b/cmd/spanmux/main.go
@@ -132,9 +132,9 @@
 			slog.Error("goes on without telling other gateways", "error", err) // each keeps all rules alone
 		}
 	}
-	var known *protocol.List
+	var known *protocol.HostList
 	if len(t.Known) > 0 {
-		if known, err = protocol.ParseList(t.Known); err != nil {
+		if known, err = protocol.ParseHostList(t.Known); err != nil {
 			slog.Warn("known list left out", "error", err)
 		}
 	}
--- a/internal/control/door.go
+++ b/internal/control/door.go
@@ -122,7 +122,7 @@
 		d.FailedCalls.Add(1)
 	}
 	c.nc.SetWriteDeadline(time.Now().Add(writeWithin))
-	answer := protocol.Said(status, allow, text)
+	answer := protocol.AdminResponse(status, allow, text)
 	if _, err := answer.WriteTo(c.nc); err == nil && c.nc.(*net.TCPConn).CloseWrite() == nil {
 		// Closed with input unread the connection would be reset, and the answer lost with it.
 		c.nc.SetReadDeadline(time.Now().Add(lingerWithin))
@@ -132,13 +132,13 @@
 
 // call gives the answer to a call; allow is the method that its path has, where it came with another.
 func (d *AdminServer) call(r *bufio.Reader, c *caller) (status int, allow string, text []byte, err error) {
-	method, path, err := protocol.ReadOwn(r, bodyMost, func() error { _, err := c.nc.Write(protocol.GoOn); return err })
+	method, path, err := protocol.ReadAdminRequest(r, bodyMost, func() error { _, err := c.nc.Write(protocol.ContinueResponse); return err })
 	if err != nil {
-		wrong := protocol.WrongOf(err)
+		wrong := protocol.AsHTTPError(err)
 		if wrong == nil {
 			return 0, "", nil, err
 		}
-		return wrong.Status, "", []byte(wrong.What + "\n"), nil
+		return wrong.Status, "", []byte(wrong.Text + "\n"), nil
 	}
 	d.mu.Lock()
 	c.heard = true
--- a/internal/protocol/body.go
+++ b/internal/protocol/body.go
@@ -59,8 +59,8 @@
 // Buffered tells whether some of it has been read and not looked at.
 func (b *Body) Buffered() bool { return b.r.Buffered() > 0 }
 
-// Left is how many bytes are left, where that is said.
-func (b *Body) Left() (bytes int, said bool) { return b.left, b.framing == byLength }
+// Remaining is how many bytes are left, where that is said.
+func (b *Body) Remaining() (bytes int, said bool) { return b.left, b.framing == byLength }
 
 // next goes on to the next chunk, or over the end: trailers are dropped. Where what is read ends within a line for now, it goes on there the next
 // time.
@@ -109,21 +109,21 @@
 	}
 }
 
-// State is where the reading of a body stands between two pieces, for another process to go on with it.
-type State struct {
+// BodyState is where the reading of a body stands between two pieces, for another process to go on with it.
+type BodyState struct {
 	Framing, Left, Most int
 	Chunk, Trailer      bool
 	Ahead               []byte // read and not looked at
 }
 
-func (b *Body) State() State {
+func (b *Body) State() BodyState {
 	ahead, _ := b.r.Peek(b.r.Buffered())
-	return State{int(b.framing), b.left, b.most, b.chunk, b.trailer, bytes.Clone(ahead)}
+	return BodyState{int(b.framing), b.left, b.most, b.chunk, b.trailer, bytes.Clone(ahead)}
 }
 
 // Resume goes on with a body; r brings what is not read ahead. It is nil where the state makes no sense.
-func (s State) Resume(r io.Reader) *Body {
-	if f := framing(s.Framing); f < byLength || f > untilClose || s.Left < 0 || s.Most < 0 || s.Most > LongMost {
+func (s BodyState) Resume(r io.Reader) *Body {
+	if f := framing(s.Framing); f < byLength || f > untilClose || s.Left < 0 || s.Most < 0 || s.Most > MaxBodyBytes {
 		return nil
 	}
 	ahead := bufio.NewReaderSize(io.MultiReader(bytes.NewReader(s.Ahead), r), max(resumeBuffer, len(s.Ahead)))
@@ -146,7 +146,7 @@
 
 // hold reads so many bytes, and tells whether that is all.
 func (b *Body) hold(most int, h *Head) (held []byte, whole bool, err error) {
-	if h.framing == byLength && h.length <= min(BodyMost, most) {
+	if h.framing == byLength && h.length <= min(MaxBufferedBodyBytes, most) {
 		held = make([]byte, h.length)
 		_, err := io.ReadFull(b, held)
 		return held, true, torn(err)
@@ -188,8 +188,8 @@
 	}
 }
 
-// Chunk is a piece of a body that is written in chunks; last is the end after the last one.
-func Chunk(piece []byte, last bool) [][]byte {
+// EncodeChunk is a piece of a body that is written in chunks; last is the end after the last one.
+func EncodeChunk(piece []byte, last bool) [][]byte {
 	var parts [][]byte
 	if len(piece) > 0 {
 		size := append(strconv.AppendInt(make([]byte, 0, 10), int64(len(piece)), 16), "\r\n"...)
--- a/internal/protocol/head.go
+++ b/internal/protocol/head.go
@@ -12,46 +12,46 @@
 )
 
 const (
-	BodyMost      = 64 << 10  // bytes of a body that is held whole, whoever sends it
-	heldMost      = 2 << 20   // bytes of a client's that is, if there is room: a slow client must not bind a host
-	LongMost      = 32 << 20  // bytes of any body, by the protocol
-	resumeBuffer  = 4 << 10   // bytes, for a body that another process began: the pieces are read past it
-	listMost      = 4 << 20   // bytes of a list: some ten thousand hosts
-	interimMost   = 16        // heads of an answer, the last one included: hosts that work long send one now and then
-	longestBudget = 3_600_000 // milliseconds: a client that says more has its units wrong
+	MaxBufferedBodyBytes = 64 << 10  // bytes of a body that is held whole, whoever sends it
+	heldMost             = 2 << 20   // bytes of a client's that is, if there is room: a slow client must not bind a host
+	MaxBodyBytes         = 32 << 20  // bytes of any body, by the protocol
+	resumeBuffer         = 4 << 10   // bytes, for a body that another process began: the pieces are read past it
+	listMost             = 4 << 20   // bytes of a list: some ten thousand hosts
+	interimMost          = 16        // heads of an answer, the last one included: hosts that work long send one now and then
+	longestBudget        = 3_600_000 // milliseconds: a client that says more has its units wrong
 )
 
-// Wrong is what is wrong with a message, with the status that its sender gets for it.
-type Wrong struct {
+// HTTPError is what is wrong with a message, with the status that its sender gets for it.
+type HTTPError struct {
 	Status int
-	What   string
+	Text   string
 }
 
-func (w *Wrong) Error() string { return w.What }
+func (w *HTTPError) Error() string { return w.Text }
 
-// WrongOf is what is wrong with a message that could not be read, nil where its sender has gone or said nothing.
-func WrongOf(err error) *Wrong {
-	var wrong *Wrong
+// AsHTTPError is what is wrong with a message that could not be read, nil where its sender has gone or said nothing.
+func AsHTTPError(err error) *HTTPError {
+	var wrong *HTTPError
 	switch {
 	case errors.As(err, &wrong):
 		return wrong
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return &Wrong{408, "message not whole in time"}
+		return &HTTPError{408, "message not whole in time"}
 	}
 	return nil
 }
 
 var (
-	errTorn     = &Wrong{400, "ends within the message"}
-	errHeadLong = &Wrong{431, "head too long"}
-	errBodyLong = &Wrong{413, "body too long"}
-	errLine     = &Wrong{400, "malformed first line"}
-	errVersion  = &Wrong{400, "not HTTP/1"}
-	errField    = &Wrong{400, "malformed field"}
-	errLength   = &Wrong{400, "wrong length"}
-	errCoding   = &Wrong{400, "unknown transfer coding"}
-	errInterim  = &Wrong{502, "too many interim answers"}
-	errChunk    = &Wrong{400, "malformed chunk"}
+	errTorn     = &HTTPError{400, "ends within the message"}
+	errHeadLong = &HTTPError{431, "head too long"}
+	errBodyLong = &HTTPError{413, "body too long"}
+	errLine     = &HTTPError{400, "malformed first line"}
+	errVersion  = &HTTPError{400, "not HTTP/1"}
+	errField    = &HTTPError{400, "malformed field"}
+	errLength   = &HTTPError{400, "wrong length"}
+	errCoding   = &HTTPError{400, "unknown transfer coding"}
+	errInterim  = &HTTPError{502, "too many interim answers"}
+	errChunk    = &HTTPError{400, "malformed chunk"}
 )
 
 // Field is one field of a head.
@@ -65,9 +65,9 @@
 	size           int
 	framing        framing
 	length         int
-	Old            bool // HTTP/1.0: it knows no chunks
+	HTTP10         bool // HTTP/1.0: it knows no chunks
 	Close          bool // the sender closes the connection after this message
-	Expect         bool // the sender waits to be told to go on with the body
+	ExpectContinue bool // the sender waits to be told to go on with the body
 }
 
 type framing int
@@ -123,8 +123,8 @@
 	return c
 }
 
-// ReadCall reads the head of what a client sends; io.EOF is a connection that ended between messages.
-func (h *Head) ReadCall(r *bufio.Reader) error {
+// ReadRequest reads the head of what a client sends; io.EOF is a connection that ended between messages.
+func (h *Head) ReadRequest(r *bufio.Reader) error {
 	line, err := h.read(r)
 	if err != nil {
 		return err
@@ -138,8 +138,8 @@
 	return h.frame(version, byLength)
 }
 
-// ReadAnswer reads the head of an answer; interim ones are passed over, but not without end.
-func (h *Head) ReadAnswer(r *bufio.Reader) error {
+// ReadResponse reads the head of an answer; interim ones are passed over, but not without end.
+func (h *Head) ReadResponse(r *bufio.Reader) error {
 	for range interimMost {
 		line, err := h.read(r)
 		if err != nil {
@@ -160,7 +160,7 @@
 			h.Close = h.Close || h.framing == untilClose
 			return nil
 		}
-		h.Skip(r)
+		h.Discard(r)
 	}
 	return errInterim
 }
@@ -220,8 +220,8 @@
 	if string(version) != "HTTP/1.1" && string(version) != "HTTP/1.0" {
 		return errVersion
 	}
-	h.framing, h.Old = without, string(version) == "HTTP/1.0"
-	h.Close = h.Old
+	h.framing, h.HTTP10 = without, string(version) == "HTTP/1.0"
+	h.Close = h.HTTP10
 	lengths, coded := 0, false
 	for _, f := range h.Fields {
 		switch {
@@ -240,7 +240,7 @@
 		case equalFold(f.Name, "Connection"):
 			h.Close = h.Close || names(f.Value, "close")
 		case equalFold(f.Name, "Expect"):
-			h.Expect = equalFold(f.Value, "100-continue")
+			h.ExpectContinue = equalFold(f.Value, "100-continue")
 		}
 	}
 	if coded && lengths > 0 { // two lengths are how messages are smuggled past a gateway
@@ -286,8 +286,8 @@
 	return true
 }
 
-// Skip goes on to the body; the head's slices hold no longer.
-func (h *Head) Skip(r *bufio.Reader) {
+// Discard goes on to the body; the head's slices hold no longer.
+func (h *Head) Discard(r *bufio.Reader) {
 	h.Method, h.Target, h.Fields = nil, nil, h.Fields[:0]
 	r.Discard(h.size)
 	h.size = 0
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -17,17 +17,17 @@
 	var h Head
 	t, err := ReadTransaction(r, &h, func() error { fmt.Println("told to go on"); return nil },
 		func(bytes int) bool { return bytes < 300_000 })
-	var wrong *Wrong
+	var wrong *HTTPError
 	switch {
 	case errors.As(err, &wrong):
 		fmt.Println(wrong.Status, wrong)
 	case err != nil:
 		fmt.Println(err)
-	case t.Own != "":
-		fmt.Println("own", t.Own)
+	case t.GatewayPath != "":
+		fmt.Println("own", t.GatewayPath)
 	default:
 		fmt.Println(t.Profile, t.Effect, t.Budget, cmp.Or(string(t.Body), "-"))
-		fmt.Println(written(t.ForHost(70 * time.Millisecond)))
+		fmt.Println(written(t.EncodeForHost(70 * time.Millisecond)))
 	}
 }
 
@@ -111,7 +111,7 @@
 }
 
 // Only 503 or 504 with the field that says so proves that a transaction has never run.
-func ExampleReadAnswer() {
+func ExampleReadResponse() {
 	for _, text := range []string{
 		"HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: TEXT inflight=7, queue=2, util=0.61, other=1\r\nA: b\r\nContent-Length: 2\r\n\r\nhi",
 		"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n",
@@ -130,8 +130,8 @@
 		"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nhi",
 	} {
 		var h Head
-		a, keep, err := ReadAnswer(bufio.NewReader(strings.NewReader(text)), &h, false, func() {}, func(a *Answer, rest *Body) error {
-			begin, framing := a.Begin(false, false)
+		a, keep, err := ReadResponse(bufio.NewReader(strings.NewReader(text)), &h, false, func() {}, func(a *Response, rest *Body) error {
+			begin, framing := a.EncodeStreamStart(false, false)
 			n, err := io.Copy(io.Discard, rest)
 			fmt.Println("streamed:", len(written(begin)) < 100, framing, len(a.Body), n, err)
 			return err
@@ -140,7 +140,7 @@
 			fmt.Println("wrong:", err)
 			continue
 		}
-		fmt.Println(a.Status, a.NeverRan, a.Load, a.LoadErr, keep, written(a.ForClient(!keep)))
+		fmt.Println(a.Status, a.NeverRan, a.Load, a.LoadErr, keep, written(a.EncodeForClient(!keep)))
 	}
 	// Output:
 	// 200 false {7 2 0.61 -1 -1} <nil> true HTTP/1.1 200 OK|A: b|Content-Length: 2||hi
@@ -168,17 +168,17 @@
 }
 
 // A list with an entry that makes no sense is lost as a whole.
-func ExampleParseList() {
+func ExampleParseHostList() {
 	for _, text := range []string{
 		`{"rev":3,"all":true,"targets":[{"uid":"s","endpoint":"h:1","az":"a","model":"m","pod_group":3,"state":"terminating","capacity_hint":1.5,"boot_ms":9}],"new":{}}`,
 		`{"rev":3,"targets":[{"uid":"s","state":"asleep"}]}`, `{"rev":3,"targets":[{"state":"in_service"}]}`, `{"rev":`,
 	} {
-		l, err := ParseList([]byte(text))
+		l, err := ParseHostList([]byte(text))
 		if err != nil {
 			fmt.Println(err)
 			continue
 		}
-		fmt.Printf("%d %t %+v\n", l.Rev, l.All, l.Targets[0].Host(5, func(ms int64) time.Duration { return time.Duration(ms) }))
+		fmt.Printf("%d %t %+v\n", l.Revision, l.Full, l.Hosts[0].Host(5, func(ms int64) time.Duration { return time.Duration(ms) }))
 	}
 	// Output:
 	// 3 true {ID:5 Zone:a Kind:m Cell:3 State:2 Size:1.5 Started:9ns}
@@ -188,20 +188,20 @@
 }
 
 // A client is told when to come back only where the module says so.
-func ExamplePlain() {
-	fmt.Println(written(Plain(503, "no", 120*time.Millisecond, false)))
-	fmt.Println(written(Plain(504, "no", 0, true)))
+func ExampleTextResponse() {
+	fmt.Println(written(TextResponse(503, "no", 120*time.Millisecond, false)))
+	fmt.Println(written(TextResponse(504, "no", 0, true)))
 	// Output:
 	// HTTP/1.1 503 Service Unavailable|Content-Type: text/plain|Retry-After: 0.120|Content-Length: 2||no
 	// HTTP/1.1 504 Gateway Timeout|Content-Type: text/plain|Content-Length: 2|Connection: close||no
 }
 
 // What was read ahead of a body that goes from process to process is not lost where the second one ends before it has read any.
-func ExampleState_twice() {
+func ExampleBodyState_twice() {
 	r := bufio.NewReader(strings.NewReader("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n6\r\nabcdef\r\n3\r\nghi\r\n0\r\n\r\n"))
 	var h Head
-	fmt.Println(h.ReadAnswer(r))
-	h.Skip(r)
+	fmt.Println(h.ReadResponse(r))
+	h.Discard(r)
 	body, piece := h.Body(r, 100), make([]byte, 4)
 	n, err := body.Read(piece)
 	fmt.Println(string(piece[:n]), err)
--- a/internal/protocol/write.go
+++ b/internal/protocol/write.go
@@ -42,15 +42,15 @@
 	return to
 }
 
-// ForHost is the transaction as it is written to a host, with the time for which the gateway will wait.
-func (t *Transaction) ForHost(wait time.Duration) net.Buffers {
+// EncodeForHost is the transaction as it is written to a host, with the time for which the gateway will wait.
+func (t *Transaction) EncodeForHost(wait time.Duration) net.Buffers {
 	tail := make([]byte, 0, 80)
 	tail = append(tail, timeField+": "...)
 	tail = strconv.AppendInt(tail, max(1, wait.Milliseconds()), 10)
 	switch {
-	case t.Rest != nil && t.length < 0:
-		return append(net.Buffers{t.head, append(tail, "\r\nTransfer-Encoding: chunked\r\n\r\n"...)}, Chunk(t.Body, false)...)
-	case t.Rest != nil:
+	case t.RemainingBody != nil && t.length < 0:
+		return append(net.Buffers{t.head, append(tail, "\r\nTransfer-Encoding: chunked\r\n\r\n"...)}, EncodeChunk(t.Body, false)...)
+	case t.RemainingBody != nil:
 		tail = strconv.AppendInt(append(tail, "\r\nContent-Length: "...), int64(t.length), 10)
 	case t.bodied:
 		tail = strconv.AppendInt(append(tail, "\r\nContent-Length: "...), int64(len(t.Body)), 10)
@@ -58,10 +58,10 @@
 	return gather(t.head, append(tail, "\r\n\r\n"...), t.Body)
 }
 
-// Piece is a further piece of the body as it is written to a host.
-func (t *Transaction) Piece(piece []byte, last bool) net.Buffers {
+// EncodePiece is a further piece of the body as it is written to a host.
+func (t *Transaction) EncodePiece(piece []byte, last bool) net.Buffers {
 	if t.length < 0 {
-		return Chunk(piece, last)
+		return EncodeChunk(piece, last)
 	}
 	return net.Buffers{piece}
 }
@@ -74,16 +74,16 @@
 	return net.Buffers{head, tail, body}
 }
 
-// Call is a call without a body, as for probes and the list.
-func Call(target, host string) net.Buffers {
+// EncodeGet is a call without a body, as for probes and the list.
+func EncodeGet(target, host string) net.Buffers {
 	return net.Buffers{[]byte("GET " + target + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n")}
 }
 
-// GoOn tells a client that waits for it to send the body.
-var GoOn = []byte("HTTP/1.1 100 Continue\r\n\r\n")
+// ContinueResponse tells a client that waits for it to send the body.
+var ContinueResponse = []byte("HTTP/1.1 100 Continue\r\n\r\n")
 
-// Plain is an answer of the gateway's own; after is when to come back, 0 for no word on that.
-func Plain(status int, text string, after time.Duration, closing bool) net.Buffers {
+// TextResponse is an answer of the gateway's own; after is when to come back, 0 for no word on that.
+func TextResponse(status int, text string, after time.Duration, closing bool) net.Buffers {
 	head := append(appendStatus(nil, status), "Content-Type: text/plain\r\n"...)
 	if after > 0 {
 		head = append(head, "Retry-After: "...)
@@ -92,8 +92,8 @@
 	return gather(head, ending(len(text), closing), []byte(text))
 }
 
-// Said is the one answer to an operator's call, after which the connection closes; allow names the method that it should have had.
-func Said(status int, allow string, text []byte) net.Buffers {
+// AdminResponse is the one answer to an operator's call, after which the connection closes; allow names the method that it should have had.
+func AdminResponse(status int, allow string, text []byte) net.Buffers {
 	head := appendStatus(nil, status)
 	if allow != "" {
 		head = append(append(append(head, "Allow: "...), allow...), "\r\n"...)
@@ -111,38 +111,38 @@
 	return append(append(append(to, ' '), http.StatusText(status)...), "\r\n"...)
 }
 
-// ForClient is a host's answer as it is passed on. It says its length, whether or not its body comes with it.
-func (a *Answer) ForClient(closing bool) net.Buffers {
+// EncodeForClient is a host's answer as it is passed on. It says its length, whether or not its body comes with it.
+func (a *Response) EncodeForClient(closing bool) net.Buffers {
 	if a.length < 0 { // of one without a body
 		return net.Buffers{a.head, closed(nil, closing)}
 	}
 	return gather(a.head, ending(a.length, closing), a.Body)
 }
 
-// Framing is how a streamed answer's end is told.
-type Framing int
+// StreamFraming is how a streamed answer's end is told.
+type StreamFraming int
 
 const (
-	Sized   Framing = iota // its length was said
-	Chunks                 // each piece says its length
-	ByClose                // the connection closes, as the client knows nothing else
+	FramingLength  StreamFraming = iota // its length was said
+	FramingChunked                      // each piece says its length
+	FramingClose                        // the connection closes, as the client knows nothing else
 )
 
-// Begin is a streamed answer's head as it is passed on, with what has come of its body.
-func (a *Answer) Begin(old, closing bool) (net.Buffers, Framing) {
+// EncodeStreamStart is a streamed answer's head as it is passed on, with what has come of its body.
+func (a *Response) EncodeStreamStart(old, closing bool) (net.Buffers, StreamFraming) {
 	switch {
 	case a.length >= 0:
-		return gather(a.head, ending(a.length, closing), a.Body), Sized
+		return gather(a.head, ending(a.length, closing), a.Body), FramingLength
 	case old:
-		return gather(a.head, closed(nil, true), a.Body), ByClose
+		return gather(a.head, closed(nil, true), a.Body), FramingClose
 	}
-	return append(net.Buffers{a.head, closed([]byte("Transfer-Encoding: chunked\r\n"), closing)}, Chunk(a.Body, false)...), Chunks
+	return append(net.Buffers{a.head, closed([]byte("Transfer-Encoding: chunked\r\n"), closing)}, EncodeChunk(a.Body, false)...), FramingChunked
 }
 
-// Piece is a further piece of a streamed answer.
-func (f Framing) Piece(piece []byte, last bool) net.Buffers {
-	if f == Chunks {
-		return Chunk(piece, last)
+// EncodePiece is a further piece of a streamed answer.
+func (f StreamFraming) EncodePiece(piece []byte, last bool) net.Buffers {
+	if f == FramingChunked {
+		return EncodeChunk(piece, last)
 	}
 	return net.Buffers{piece}
 }
--- a/internal/routing/admit.go
+++ b/internal/routing/admit.go
@@ -26,8 +26,8 @@
 	case t.client.OverLimit:
 		d.Counters.RejectedBeforeAdmission.Add(1)
 		t.tally.rolledBack.Add(1)
-		over := protocol.Plain(503, "no room\n", 0, true)
-		if t.said.Rest == nil {
+		over := protocol.TextResponse(503, "no room\n", 0, true)
+		if t.said.RemainingBody == nil {
 			t.client.WriteFinal(over)
 		} else if t.client.Write(over) == nil { // it may be whole, and only not read: then it is owed this answer
 			t.client.CloseWrite()
@@ -40,13 +40,13 @@
 		if t.tally != nil {
 			t.tally.aborted.Add(1)
 		}
-		t.client.WriteFinal(protocol.Plain(400, wrong+"\n", 0, true))
+		t.client.WriteFinal(protocol.TextResponse(400, wrong+"\n", 0, true))
 		return false
 	}
 	if !d.take(t, place, max(t.said.Budget-timeAside, time.Millisecond)) {
-		d.Counters.wrong("id of a transaction that is open", slog.String("trace", t.said.Trace))
+		d.Counters.wrong("id of a transaction that is open", slog.String("trace", t.said.TraceID))
 		t.tally.aborted.Add(1)
-		t.client.WriteFinal(protocol.Plain(409, "its id is that of another\n", 0, true))
+		t.client.WriteFinal(protocol.TextResponse(409, "its id is that of another\n", 0, true))
 		return false
 	}
 	return true
@@ -54,7 +54,7 @@
 
 // arrival is a transaction as the module takes it; under the lock, as tenants may change.
 func (d *Dispatcher) arrival(said *protocol.Transaction, profile int, budget time.Duration) logic.Arrival {
-	a := logic.Arrival{ProfileIndex: profile, TenantIndex: -1, Budget: budget, BodyPending: said.Rest != nil}
+	a := logic.Arrival{ProfileIndex: profile, TenantIndex: -1, Budget: budget, BodyPending: said.RemainingBody != nil}
 	if d.opened.WarmKeys && len(said.Object) > 0 {
 		a.AffinityKey = crc32.ChecksumIEEE(said.Object) | 1
 	}
--- a/internal/routing/endings_test.go
+++ b/internal/routing/endings_test.go
@@ -28,7 +28,7 @@
 	s := &gated{playBy(strings.Replace(settings, `"cancelling":true`, fmt.Sprintf(`"cancelling":%t`, cancelling), 1), hosts...),
 		make(chan bool, 9), make(chan bool)}
 	s.decide(func(time.Duration) {
-		s.pool.Up = func(_ context.Context, network, addr string) (net.Conn, error) {
+		s.pool.Dial = func(_ context.Context, network, addr string) (net.Conn, error) {
 			s.dials <- true
 			<-s.gate
 			return net.Dial(network, addr)
@@ -192,7 +192,7 @@
 	})
 	other := entry
 	other.UID = "other"
-	s.takeList(s.list.line, logic.ListComplete, &protocol.List{Rev: 5, All: true, Targets: []protocol.Entry{entry, other}})
+	s.takeList(s.list.line, logic.ListComplete, &protocol.HostList{Revision: 5, Full: true, Hosts: []protocol.HostEntry{entry, other}})
 	c = s.dial()
 	io.WriteString(c, text("pay", "go", ""))
 	s.untilLine("has it")
@@ -216,7 +216,7 @@
 	var first logic.HostID
 	s.decide(func(time.Duration) { first = s.txs[1].hops[0].host })
 	uid := s.list.uids[first]
-	s.takeList(s.list.line, logic.ListChanges, &protocol.List{Rev: 5, Targets: []protocol.Entry{
+	s.takeList(s.list.line, logic.ListChanges, &protocol.HostList{Revision: 5, Hosts: []protocol.HostEntry{
 		{UID: uid, Endpoint: s.list.addr[first], Zone: "a", State: "terminating"}}})
 	s.gate <- true
 	s.gate <- true
@@ -387,16 +387,16 @@
 	})
 	s.ask("read", "go")
 	s.decide(func(time.Duration) { host = s.list.ids["scripted"] })
-	done := make(chan transport.How, 1)
+	done := make(chan transport.Outcome, 1)
 	s.decide(func(time.Duration) {
-		s.start(s.list.target(host), &transport.Exchange{Until: time.Now().Add(5 * time.Second), Done: func(how transport.How) { done <- how },
-			Message: func() net.Buffers {
+		s.start(s.list.target(host), &transport.Exchange{Deadline: time.Now().Add(5 * time.Second), OnDone: func(how transport.Outcome) { done <- how },
+			BuildMessage: func() net.Buffers {
 				return net.Buffers{[]byte("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 8388608\r\n\r\n"), bytesOf(8 * megabyte)}
 			},
-			Read: func(r *bufio.Reader) (bool, error) { _, err := http.ReadResponse(r, nil); return true, err }}, true)
+			ReadResponse: func(r *bufio.Reader) (bool, error) { _, err := http.ReadResponse(r, nil); return true, err }}, true)
 	})
 	goOn <- true
-	fmt.Println("answered:", <-done == transport.Answered, "on connections:", s.pool.Opened.Load())
+	fmt.Println("answered:", <-done == transport.OutcomeAnswered, "on connections:", s.pool.Opened.Load())
 	// Output: answered: true on connections: 1
 }
 
@@ -507,7 +507,7 @@
 	defer c.Close()
 	io.WriteString(c, text("pay", "go", ""))
 	s.until("out", func() bool { return s.Counters.HopsWritten.Load() == 1 })
-	s.takeList(s.list.line, logic.ListChanges, &protocol.List{Rev: 6, Targets: []protocol.Entry{{UID: "scripted", Zone: "a", State: "terminated"}}})
+	s.takeList(s.list.line, logic.ListChanges, &protocol.HostList{Revision: 6, Hosts: []protocol.HostEntry{{UID: "scripted", Zone: "a", State: "terminated"}}})
 	goOn <- true
 	s.get(c, "pay")
 	select {
--- a/internal/routing/gone_test.go
+++ b/internal/routing/gone_test.go
@@ -47,19 +47,19 @@
 	change = append([]string{`"cancelling":true`, fmt.Sprintf(`"cancelling":%t`, cancelling), `"connectTimeout":200000`, `"connectTimeout":1900000`}, change...)
 	l := &leavers{stage: playBy(strings.NewReplacer(change...).Replace(settings)), size: size, ways: []string{"closes", "resets", "halves"}, begun: map[string]time.Time{}, serve: make(chan bool),
 		dials: make(chan bool, 4*size), gate: make(chan bool, 4*size)}
-	list := &protocol.List{Rev: 5, All: true}
+	list := &protocol.HostList{Revision: 5, Full: true}
 	for i := range hosts {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			panic(err)
 		}
 		go l.listens(ln)
-		list.Targets = append(list.Targets, protocol.Entry{UID: fmt.Sprint("host ", i), Endpoint: ln.Addr().String(), Zone: "a", State: "in_service"})
+		list.Hosts = append(list.Hosts, protocol.HostEntry{UID: fmt.Sprint("host ", i), Endpoint: ln.Addr().String(), Zone: "a", State: "in_service"})
 	}
 	l.takeList(l.list.line, logic.ListComplete, list)
 	if gated {
 		l.decide(func(time.Duration) {
-			l.pool.Up = func(_ context.Context, network, addr string) (net.Conn, error) {
+			l.pool.Dial = func(_ context.Context, network, addr string) (net.Conn, error) {
 				l.dials <- true
 				if !<-l.gate {
 					return nil, errors.New("never up")
--- a/internal/routing/handover.go
+++ b/internal/routing/handover.go
@@ -23,8 +23,8 @@
 type note struct {
 	Trace   string // its transaction's id, for the log
 	Host    logic.HostID
-	Body    protocol.State
-	Framing protocol.Framing
+	Body    protocol.BodyState
+	Framing protocol.StreamFraming
 	Closing bool
 	Last    bool // nothing follows what was read
 	Asks    bool // for what has been learnt; nothing is handed over
@@ -44,7 +44,7 @@
 	held    int         // room taken for that
 	wide    bool        // the machine takes in much of what the host gives
 	wrote   time.Time   // when the client last took something
-	framing protocol.Framing
+	framing protocol.StreamFraming
 	closing bool  // the client's connection closes behind it
 	whole   bool  // nothing else is to come on that before it
 	last    bool  // all of it has been read
@@ -66,7 +66,7 @@
 			may = false
 			text, err := json.Marshal(note{Trace: f.trace, Host: f.from, Body: f.rest.State(), Framing: f.framing, Closing: f.closing, Last: f.last})
 			unsent := append(bytes.Join(f.unsent, nil), f.ahead...)
-			if err == nil && transport.Hand(d.heir, text, unsent, f.client, f.host) {
+			if err == nil && transport.HandOverClient(d.heir, text, unsent, f.client, f.host) {
 				d.Counters.HandedOver.Add(1)
 				return true, nil
 			}
@@ -103,7 +103,7 @@
 		err = nil
 	}
 	if n > 0 || f.last {
-		return f.framing.Piece(piece[:n], f.last), err
+		return f.framing.EncodePiece(piece[:n], f.last), err
 	}
 	return nil, err
 }
@@ -112,7 +112,7 @@
 // what its own socket still holds then goes with it, megabytes at times. So as it drains this machine's socket takes in what that holds, which
 // outlives the host, and the end is read ahead besides. Where the length is said that is near only towards the end.
 func (d *Dispatcher) hurries(f *flow) bool {
-	left, said := f.rest.Left()
+	left, said := f.rest.Remaining()
 	if !d.goes(f.from) {
 		return said && left <= tailMost
 	}
@@ -164,7 +164,7 @@
 
 // takeAhead takes room for a further piece.
 func (d *Dispatcher) takeAhead(f *flow) bool {
-	_, said := f.rest.Left()
+	_, said := f.rest.Remaining()
 	least := int64(0)
 	if !said {
 		least = d.aheadMost / 2
@@ -195,7 +195,7 @@
 	if !d.Counters.lines.allows() {
 		return
 	}
-	left, said := f.rest.Left()
+	left, said := f.rest.Remaining()
 	slog.Warn("answer broken off", "error", err, "trace", f.trace, "after", time.Since(f.began), "adopted", adopted, "left", left,
 		"of all", said, "ahead", len(f.ahead), "drains", d.goes(f.from))
 }
@@ -228,10 +228,10 @@
 func (d *Dispatcher) ListenForHandover(path string) error {
 	text, err := json.Marshal(note{Asks: true})
 	must.Hold(err == nil, "a note can be written")
-	if said := transport.Ask(path, text); json.Unmarshal(said, &d.learnt.what) == nil {
+	if said := transport.QueryProcess(path, text); json.Unmarshal(said, &d.learnt.what) == nil {
 		d.learnt.at = time.Now()
 	}
-	s, err := transport.Succeed(path)
+	s, err := transport.ListenHandover(path)
 	if err != nil {
 		return err
 	}
@@ -245,14 +245,14 @@
 func (d *Dispatcher) turned(c *transport.Client) {
 	if !d.handOver(c) {
 		d.Counters.RejectedBeforeAdmission.Add(1)
-		c.WriteFinal(protocol.Plain(503, "ends\n", 0, true))
+		c.WriteFinal(protocol.TextResponse(503, "ends\n", 0, true))
 	}
 }
 
 // handOver hands a client over with what has come of its message.
 func (d *Dispatcher) handOver(c *transport.Client) (handed bool) {
 	heard, all := c.Retained()
-	if handed = all && d.shared && transport.Hand(d.heir, nil, heard, c); handed {
+	if handed = all && d.shared && transport.HandOverClient(d.heir, nil, heard, c); handed {
 		d.Counters.HandedOver.Add(1)
 	}
 	return handed
@@ -274,7 +274,7 @@
 	if err == nil && len(conns) == 2 {
 		rest = n.Body.Resume(conns[1])
 	}
-	if rest == nil || n.Framing < protocol.Sized || n.Framing > protocol.ByClose {
+	if rest == nil || n.Framing < protocol.FramingLength || n.Framing > protocol.FramingClose {
 		slog.Warn("handed over, and not understood", "connections", len(conns), "error", err)
 		for _, nc := range conns {
 			nc.Close()
@@ -295,7 +295,7 @@
 			return
 		case err != nil:
 			d.brokenOff(f, err, true)
-			if d.Counters.ResponsesCutOff.Add(1); n.Framing == protocol.ByClose {
+			if d.Counters.ResponsesCutOff.Add(1); n.Framing == protocol.FramingClose {
 				c.Reset()
 			}
 		case !n.Closing:
--- a/internal/routing/relay.go
+++ b/internal/routing/relay.go
@@ -12,15 +12,15 @@
 	"spanmux/logic"
 )
 
-var endOf = map[transport.How]logic.HopOutcome{
-	transport.NeverUp: logic.HopNoConnection, transport.NotWritten: logic.HopNoConnection, transport.Broken: logic.HopConnectionBroken,
-	transport.TimedOut: logic.HopTimedOut, transport.GivenUp: logic.HopCalledOff, transport.Withdrawn: logic.HopNoConnection,
+var endOf = map[transport.Outcome]logic.HopOutcome{
+	transport.OutcomeConnectFailed: logic.HopNoConnection, transport.OutcomeNotWritten: logic.HopNoConnection, transport.OutcomeBroken: logic.HopConnectionBroken,
+	transport.OutcomeTimedOut: logic.HopTimedOut, transport.OutcomeCancelled: logic.HopCalledOff, transport.OutcomeWithdrawn: logic.HopNoConnection,
 }
 
 // end is how a hop ended, for the module.
-func (h *hop) end(how transport.How) logic.HopOutcome {
+func (h *hop) end(how transport.Outcome) logic.HopOutcome {
 	switch {
-	case how != transport.Answered:
+	case how != transport.OutcomeAnswered:
 		return endOf[how]
 	case h.answer.Status == 200 && h.whole: // else it was made for another, as no host begins before the last byte
 		return logic.HopCommitted
@@ -35,13 +35,13 @@
 // ended tells the module how a hop ended; the first that commits is the transaction's final answer. One that its host
 // declines would be declined by all: that is final too, and says nothing against the host. Counted as errors, what bad
 // clients send would open the breakers of good hosts.
-func (d *Dispatcher) ended(h *hop, how transport.How) {
-	if how == transport.Withdrawn && !d.wants(h) {
+func (d *Dispatcher) ended(h *hop, how transport.Outcome) {
+	if how == transport.OutcomeWithdrawn && !d.wants(h) {
 		d.Counters.HopsWithdrawn.Add(1)
 		d.unsent(h)
 		return
 	}
-	if how == transport.LimitReached { // taken for a host that is not there it opened the breakers of all good ones
+	if how == transport.OutcomeNoSlot { // taken for a host that is not there it opened the breakers of all good ones
 		d.Counters.HopsNoSocket.Add(1)
 		d.unsent(h)
 		return
@@ -65,27 +65,27 @@
 		switch {
 		case t.answered || end != logic.HopCommitted && end != logic.HopNotSent:
 		case end == logic.HopCommitted:
-			d.answer(t, &d.Counters.Committed, 200, h.answer.ForClient)
+			d.answer(t, &d.Counters.Committed, 200, h.answer.EncodeForClient)
 		default:
-			d.answer(t, &d.Counters.Declined, h.answer.Status, h.answer.ForClient)
+			d.answer(t, &d.Counters.Declined, h.answer.Status, h.answer.EncodeForClient)
 			d.then(func() {
-				d.Counters.wrong("declined by its host", slog.Int("status", h.answer.Status), slog.String("trace", t.said.Trace))
+				d.Counters.wrong("declined by its host", slog.Int("status", h.answer.Status), slog.String("trace", t.said.TraceID))
 			})
 		}
-		d.opened.HopEnded(now, t.id, h.number, logic.HopResult{Outcome: end, Latency: time.Since(h.sent) - h.exchange.Waited, Load: load}, t.answered)
+		d.opened.HopEnded(now, t.id, h.number, logic.HopResult{Outcome: end, Latency: time.Since(h.sent) - h.exchange.SlotWait, Load: load}, t.answered)
 		d.forget(t)
 	})
 }
 
 func (d *Dispatcher) RollBack(id logic.TxID, after time.Duration) {
 	d.answer(d.txs[id], &d.Counters.RolledBack, 503, func(closing bool) net.Buffers {
-		return protocol.Plain(503, "rolled back\n", after, closing)
+		return protocol.TextResponse(503, "rolled back\n", after, closing)
 	})
 }
 
 func (d *Dispatcher) Abandon(id logic.TxID) {
 	d.answer(d.txs[id], &d.Counters.Abandoned, 504, func(closing bool) net.Buffers {
-		return protocol.Plain(504, "abandoned\n", 0, closing)
+		return protocol.TextResponse(504, "abandoned\n", 0, closing)
 	})
 }
 
@@ -97,7 +97,7 @@
 	}
 	d.settled(t)
 	count.Add(1)
-	taken, heard := t.taken, t.said.Rest == nil || t.heard
+	taken, heard := t.taken, t.said.RemainingBody == nil || t.heard
 	d.then(func() {
 		closing := t.said.Close || !heard || d.sendsAway()
 		err := t.client.WriteWithDeadline(bare(t.said, form(closing)), taken.Add(t.said.Budget))
@@ -134,16 +134,16 @@
 
 // stream passes on an answer over the usual size as it comes: its head is sound. From here on the transaction is its host's, and no
 // other hop can answer it; what breaks it off now its client can tell.
-func (d *Dispatcher) stream(h *hop, a *protocol.Answer, rest *protocol.Body) error {
+func (d *Dispatcher) stream(h *hop, a *protocol.Response, rest *protocol.Body) error {
 	t, heard := h.t, false
-	if a.Status == 200 && !h.exchange.Whole() {
+	if a.Status == 200 && !h.exchange.FullyWritten() {
 		return errEarly
 	}
 	d.decide(func(now time.Duration) {
 		if t.answered {
 			return
 		}
-		h.streamed, heard = true, t.said.Rest == nil || t.heard
+		h.streamed, heard = true, t.said.RemainingBody == nil || t.heard
 		end, count := logic.HopCommitted, &d.Counters.Committed
 		if a.Declined {
 			end, count = logic.HopNotSent, &d.Counters.Declined
@@ -160,14 +160,14 @@
 		return errNobodyWaits
 	}
 	closing := t.said.Close || !heard || d.sendsAway()
-	parts, framing := a.Begin(t.said.Old, closing)
+	parts, framing := a.EncodeStreamStart(t.said.HTTP10, closing)
 	a.Body = nil
-	closing = closing || framing == protocol.ByClose
-	f := &flow{trace: t.said.Trace, began: h.sent, client: t.client, host: h.exchange.Host(), from: h.host, rest: rest, unsent: parts,
+	closing = closing || framing == protocol.FramingClose
+	f := &flow{trace: t.said.TraceID, began: h.sent, client: t.client, host: h.exchange.HostConn(), from: h.host, rest: rest, unsent: parts,
 		framing: framing, closing: closing, whole: heard && !t.early}
 	handed, err := d.pass(f)
 	if err != nil {
-		if d.Counters.ResponsesCutOff.Add(1); framing == protocol.ByClose { // else it would look whole
+		if d.Counters.ResponsesCutOff.Add(1); framing == protocol.FramingClose { // else it would look whole
 			t.client.Reset()
 		}
 		d.brokenOff(f, err, false)
@@ -189,7 +189,7 @@
 	d.decide(func(time.Duration) {
 		for _, h := range t.hops {
 			if h.streamed {
-				d.then(h.exchange.GiveUp)
+				d.then(h.exchange.Cancel)
 			}
 		}
 	})
--- a/internal/routing/route.go
+++ b/internal/routing/route.go
@@ -63,12 +63,12 @@
 	early   bool          // some of what its client sends next has been read already
 	settled chan struct{} // closed when its answer is written
 
-	up       chan *transport.Rest // of a body that is to come yet: what writes it to a host
-	passed   bool                 // some of that is gone and can't be sent again
-	heard    bool                 // all of it has come
-	wait     time.Duration        // for the answer from then on
-	feeding  *hop                 // which has it
-	answered bool                 // it has its final answer, or nobody waits for one
+	up       chan *transport.BodyWriter // of a body that is to come yet: what writes it to a host
+	passed   bool                       // some of that is gone and can't be sent again
+	heard    bool                       // all of it has come
+	wait     time.Duration              // for the answer from then on
+	feeding  *hop                       // which has it
+	answered bool                       // it has its final answer, or nobody waits for one
 	hops     []*hop
 	out      int
 }
@@ -129,10 +129,10 @@
 // take hands a transaction to the module, unless its id is that of one that is still open: its effect would happen twice.
 func (d *Dispatcher) take(t *tx, profile int, budget time.Duration) (taken bool) {
 	d.decide(func(now time.Duration) {
-		if taken = !d.open[t.said.Trace]; !taken {
+		if taken = !d.open[t.said.TraceID]; !taken {
 			return
 		}
-		d.open[t.said.Trace] = true
+		d.open[t.said.TraceID] = true
 		d.Counters.Admitted.Add(1)
 		d.Counters.OpenTransactions.Add(1)
 		d.last++
@@ -146,10 +146,10 @@
 // settled notes that a transaction has its final answer, or that nobody waits for one.
 func (d *Dispatcher) settled(t *tx) {
 	t.answered = true
-	delete(d.open, t.said.Trace)
+	delete(d.open, t.said.TraceID)
 	for _, h := range t.hops { // what no host has yet none needs to have, whether or not what runs may be called off
 		if h.exchange != nil {
-			d.then(h.exchange.Withdraw)
+			d.then(h.exchange.CancelIfUnwritten)
 		}
 	}
 	d.forget(t)
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -53,13 +53,13 @@
 	if err != nil {
 		panic(err)
 	}
-	known := &protocol.List{Rev: 4}
+	known := &protocol.HostList{Revision: 4}
 	for i, uid := range hosts {
 		at := s.listen(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { s.host(uid, w, r) }))
 		if uid == "down" {
 			at = "127.0.0.1:1" // a port that was open before might be another's by now
 		}
-		known.Targets = append(known.Targets, protocol.Entry{UID: uid, Endpoint: at, Zone: "a", Cell: i, State: "in_service"})
+		known.Hosts = append(known.Hosts, protocol.HostEntry{UID: uid, Endpoint: at, Zone: "a", Cell: i, State: "in_service"})
 	}
 	discovery := s.listen(http.HandlerFunc(s.discover))
 	desk.Start(7, discovery, known)
@@ -79,7 +79,7 @@
 
 // host does what the query says and prints what has come.
 func (s *stage) host(uid string, w http.ResponseWriter, r *http.Request) {
-	if r.URL.Path == protocol.LoadTarget {
+	if r.URL.Path == protocol.LoadPath {
 		io.WriteString(w, "TEXT inflight=1, queue=0")
 		return
 	}
@@ -492,7 +492,7 @@
 	}))
 	old := s.list.line
 	s.decide(func(time.Duration) { s.rediscover(moved) })
-	s.takeList(old, logic.ListComplete, &protocol.List{Rev: 9})
+	s.takeList(old, logic.ListComplete, &protocol.HostList{Revision: 9})
 	lists <- `{"rev":3,"all":true,"targets":[{"uid":"two","az":"a","state":"terminating"}]}`
 	s.untilRev(3)
 	s.ask("read", "go")
--- a/internal/routing/run.go
+++ b/internal/routing/run.go
@@ -96,8 +96,8 @@
 }
 
 // Start starts the decisions. Discovery is asked at its address; known is the list as it was last had.
-func (d *Dispatcher) Start(seed uint64, discovery string, known *protocol.List) {
-	d.began, d.list.line = time.Now(), &transport.Line{Addr: discovery}
+func (d *Dispatcher) Start(seed uint64, discovery string, known *protocol.HostList) {
+	d.began, d.list.line = time.Now(), &transport.DiscoveryConn{Addr: discovery}
 	d.list.jitter = rand.New(rand.NewPCG(seed, uint64(d.opened.Me))) // gateways that share a seed are not to call in step
 	d.list.backoff = time.AfterFunc(time.Hour, func() { d.decide(func(time.Duration) { d.ask() }) })
 	d.list.backoff.Stop()
@@ -108,7 +108,7 @@
 		}
 		d.opened.Start(d, now, seed, beside)
 	})
-	if known != nil && len(known.Targets) > 0 {
+	if known != nil && len(known.Hosts) > 0 {
 		d.takeList(d.list.line, logic.ListCached, known)
 	}
 	d.decide(func(time.Duration) {
@@ -176,7 +176,7 @@
 		}
 		d.mu.Unlock()
 		d.listener.HandOver()
-		d.pool.CloseIdle()
+		d.pool.CloseAllIdle()
 	} else {
 		time.Sleep(comeOn)
 		d.listener.Shutdown()
--- a/internal/routing/send.go
+++ b/internal/routing/send.go
@@ -22,7 +22,7 @@
 	number   int
 	sent     time.Time
 	exchange *transport.Exchange
-	answer   *protocol.Answer
+	answer   *protocol.Response
 	whole    bool // all of it was written
 	streamed bool // its answer has begun to go on, and the module knows
 }
@@ -39,26 +39,26 @@
 		return
 	}
 	h.exchange = &transport.Exchange{
-		Message: func() net.Buffers { return t.said.ForHost(time.Until(until)) },
-		Until:   until,
-		Wanted:  func() bool { return d.wants(h) },
-		Read: func(r *bufio.Reader) (keep bool, err error) {
+		BuildMessage: func() net.Buffers { return t.said.EncodeForHost(time.Until(until)) },
+		Deadline:     until,
+		StillWanted:  func() bool { return d.wants(h) },
+		ReadResponse: func(r *bufio.Reader) (keep bool, err error) {
 			var head protocol.Head
-			h.answer, keep, err = protocol.ReadAnswer(r, &head, t.said.Bare, func() { h.exchange.Within(holdWithin) },
-				func(a *protocol.Answer, rest *protocol.Body) error { return d.stream(h, a, rest) })
+			h.answer, keep, err = protocol.ReadResponse(r, &head, t.said.HeadOnly, func() { h.exchange.SetReadTimeout(holdWithin) },
+				func(a *protocol.Response, rest *protocol.Body) error { return d.stream(h, a, rest) })
 			return keep, err
 		},
-		Written: func() {
+		OnWritten: func() {
 			h.whole = true
 			d.Counters.HopsWritten.Add(1)
 		},
-		Done: func(how transport.How) { d.ended(h, how) },
+		OnDone: func(how transport.Outcome) { d.ended(h, how) },
 	}
-	if t.said.Rest != nil {
-		h.exchange.Rest = func(r *transport.Rest) bool { return d.feeds(h, r, wait) }
+	if t.said.RemainingBody != nil {
+		h.exchange.StreamBody = func(r *transport.BodyWriter) bool { return d.feeds(h, r, wait) }
 	}
 	d.Counters.Hops.Add(1)
-	d.start(h.to, h.exchange, len(t.said.Body) > protocol.BodyMost)
+	d.start(h.to, h.exchange, len(t.said.Body) > protocol.MaxBufferedBodyBytes)
 }
 
 // wants tells whether a hop is still to be sent: somebody waits for its transaction, and its host takes what is new. A connection may
@@ -79,7 +79,7 @@
 }
 
 // feeds has the rest of a body written to the host whose connection is up, unless some of it has gone to another.
-func (d *Dispatcher) feeds(h *hop, r *transport.Rest, wait time.Duration) bool {
+func (d *Dispatcher) feeds(h *hop, r *transport.BodyWriter, wait time.Duration) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if h.t.passed || h.t.answered {
@@ -117,7 +117,7 @@
 // stands behind more than a socket holds.
 func (d *Dispatcher) readEarly(t *tx, e *early, piece []byte, until func() bool) {
 	for e.err == nil && len(e.pieces) < earlyMost/pieceBytes && !until() && d.roomFor(pieceBytes) {
-		n, err := t.client.ReadWhileWaiting(until, func() (int, error) { return t.said.Rest.Read(piece) })
+		n, err := t.client.ReadWhileWaiting(until, func() (int, error) { return t.said.RemainingBody.Read(piece) })
 		if n > 0 {
 			e.pieces = append(e.pieces, bytes.Clone(piece[:n]))
 		} else {
@@ -134,7 +134,7 @@
 func (d *Dispatcher) feed(t *tx) bool {
 	piece := pieces.Get().(*[pieceBytes]byte)
 	defer pieces.Put(piece)
-	var to *transport.Rest
+	var to *transport.BodyWriter
 	var e early
 	defer func() { d.large.Add(int64(len(e.pieces)) * pieceBytes) }()
 	stays := func() bool { return !t.client.PeerClosed() }
@@ -166,10 +166,10 @@
 		if had && n > 0 {
 			d.large.Add(pieceBytes)
 		} else if !had {
-			n, err = t.said.Rest.Read(piece[:])
+			n, err = t.said.RemainingBody.Read(piece[:])
 		}
 		if errors.Is(err, transport.ErrShuttingDown) { // its host has not all of it, and never has
-			to.Break()
+			to.Abort()
 			<-t.settled
 			t.client.DiscardInput()
 			return false
@@ -186,7 +186,7 @@
 				t.heard, t.early, t.taken, t.feeding.sent = true, t.client.Reader.Buffered() > 0, began, began
 				d.opened.HopBodySent(now, t.id, t.feeding.number)
 			})
-			switch err := to.Last(t.said.Piece(piece[:n], true), t.wait, stays); {
+			switch err := to.WriteLast(t.said.EncodePiece(piece[:n], true), t.wait, stays); {
 			case errors.Is(err, transport.ErrUnwanted):
 				return d.breaks(t, nil)
 			case err != nil:
@@ -198,7 +198,7 @@
 			return !late
 		}
 		if n > 0 {
-			switch err := to.Write(t.said.Piece(piece[:n], false), stays); {
+			switch err := to.Write(t.said.EncodePiece(piece[:n], false), stays); {
 			case errors.Is(err, transport.ErrUnwanted):
 				return d.breaks(t, nil)
 			case err != nil:
@@ -232,7 +232,7 @@
 func (d *Dispatcher) start(to transport.Target, x *transport.Exchange, long bool) {
 	d.then(func() {
 		if to.Addr == "" {
-			x.Done(transport.NeverUp)
+			x.OnDone(transport.OutcomeConnectFailed)
 		} else if long {
 			go d.pool.Start(to, x)
 		} else {
@@ -253,20 +253,20 @@
 
 func (d *Dispatcher) CallOff(id logic.TxID, number int) {
 	if h := d.txs[id].hops[number]; h.exchange != nil { // else it was never sent
-		d.then(h.exchange.GiveUp)
+		d.then(h.exchange.Cancel)
 	}
 }
 
 // closeGone closes what is idle to a host that has gone from the list: what was out there as that was told has just fallen idle.
 func (d *Dispatcher) closeGone(to transport.Target) {
-	if d.list.target(logic.HostID(to.Host)) != to {
-		d.then(func() { d.pool.Close(to) })
+	if d.list.target(logic.HostID(to.HostID)) != to {
+		d.then(func() { d.pool.CloseIdleTo(to) })
 	}
 }
 
 func (d *Dispatcher) CloseIdleConnections(host logic.HostID) {
 	to := d.list.target(host)
-	d.then(func() { d.pool.Close(to) })
+	d.then(func() { d.pool.CloseIdleTo(to) })
 }
 
 func (d *Dispatcher) Probe(host logic.HostID) {
@@ -274,22 +274,22 @@
 	load, reported := logic.NoLoadReport, false
 	to := d.list.target(host)
 	d.start(to, &transport.Exchange{
-		Message: func() net.Buffers { return protocol.Call(protocol.LoadTarget, to.Addr) },
-		Until:   time.Now().Add(probeWithin),
-		Read: func(r *bufio.Reader) (keep bool, err error) {
+		BuildMessage: func() net.Buffers { return protocol.EncodeGet(protocol.LoadPath, to.Addr) },
+		Deadline:     time.Now().Add(probeWithin),
+		ReadResponse: func(r *bufio.Reader) (keep bool, err error) {
 			var head protocol.Head
-			answer, keep, err := protocol.ReadAnswer(r, &head, false, nil, nil)
+			answer, keep, err := protocol.ReadResponse(r, &head, false, nil, nil)
 			if err == nil && answer.Status == 200 {
 				var wrong error
-				if load, wrong = protocol.Load(answer.Body); wrong != nil {
+				if load, wrong = protocol.ParseLoadReport(answer.Body); wrong != nil {
 					d.Counters.wrong(wrong.Error())
 				}
 				reported = wrong == nil
 			}
 			return keep, err
 		},
-		Done: func(how transport.How) {
-			if how == transport.Answered && reported {
+		OnDone: func(how transport.Outcome) {
+			if how == transport.OutcomeAnswered && reported {
 				d.Counters.ProbesAnswered.Add(1)
 			} else {
 				load = logic.NoLoadReport
--- a/internal/routing/size_test.go
+++ b/internal/routing/size_test.go
@@ -36,10 +36,10 @@
 }
 
 // largeHosts is a list of so many hosts. Each has an address of its own at one port of this machine.
-func largeHosts(port int, state string) []protocol.Entry {
-	entries := make([]protocol.Entry, largeFleet)
+func largeHosts(port int, state string) []protocol.HostEntry {
+	entries := make([]protocol.HostEntry, largeFleet)
 	for i := range entries {
-		entries[i] = protocol.Entry{UID: fmt.Sprintf("host-%08x", i), Endpoint: fmt.Sprintf("127.1.%d.%d:%d", i>>8, i&255, port),
+		entries[i] = protocol.HostEntry{UID: fmt.Sprintf("host-%08x", i), Endpoint: fmt.Sprintf("127.1.%d.%d:%d", i>>8, i&255, port),
 			Zone: "a", Model: "m2", Cell: i, State: state, Size: 1}
 	}
 	return entries
@@ -133,13 +133,13 @@
 		defer d.mu.Unlock()
 		return len(d.list.addr), len(d.list.drains), d.list.rev
 	}
-	lists <- marshal(t, protocol.List{Rev: 1, All: true, Targets: largeHosts(5000, "in_service")})
+	lists <- marshal(t, protocol.HostList{Revision: 1, Full: true, Hosts: largeHosts(5000, "in_service")})
 	eventually(t, 2*time.Second, "the whole list", func() bool { hosts, _, _ := known(); return hosts == largeFleet })
 	before.check(t, 0)
 
 	began := time.Now()
-	for i, e := range largeHosts(5000, protocol.Terminating) {
-		lists <- marshal(t, protocol.List{Rev: int64(2 + i), Targets: []protocol.Entry{e}})
+	for i, e := range largeHosts(5000, protocol.StateTerminating) {
+		lists <- marshal(t, protocol.HostList{Revision: int64(2 + i), Hosts: []protocol.HostEntry{e}})
 	}
 	eventually(t, time.Second, "all drain", func() bool { _, draining, _ := known(); return draining == largeFleet })
 	took := time.Since(began)
@@ -147,13 +147,13 @@
 	if took > 10*time.Second {
 		t.Errorf("%v for %d changes", took, largeFleet)
 	}
-	lists <- marshal(t, protocol.List{Rev: 2 + largeFleet, Targets: largeHosts(5000, "in_service")})
+	lists <- marshal(t, protocol.HostList{Revision: 2 + largeFleet, Hosts: largeHosts(5000, "in_service")})
 	eventually(t, time.Second, "all are back", func() bool { hosts, draining, _ := known(); return hosts == largeFleet && draining == 0 })
 	var shown struct{ Discovered, Ejected int }
 	if err := json.Unmarshal(d.MetricsJSON(), &shown); err != nil || shown.Discovered != largeFleet || shown.Ejected != 0 {
 		t.Errorf("figures: %+v, %v", shown, err)
 	}
-	lists <- marshal(t, protocol.List{Rev: 3 + largeFleet, All: true})
+	lists <- marshal(t, protocol.HostList{Revision: 3 + largeFleet, Full: true})
 	eventually(t, time.Second, "all are gone", func() bool { hosts, _, _ := known(); return hosts == 0 })
 }
 
@@ -215,7 +215,7 @@
 	before := beginCost()
 	join(t, d, own, addrs)
 	addr, _ := discoveryOf(t)
-	d.Start(7, addr, &protocol.List{Rev: 1, All: true, Targets: largeHosts(5000, "in_service")})
+	d.Start(7, addr, &protocol.HostList{Revision: 1, Full: true, Hosts: largeHosts(5000, "in_service")})
 
 	at := netip.MustParseAddrPort(own)
 	d.mu.Lock()
@@ -295,8 +295,8 @@
 // A process hands all that it has learnt of a thousand hosts to the next one, in far less than the time for which that waits.
 func TestLearntLargeFleet(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "heir")
-	known := func() *protocol.List {
-		return &protocol.List{Rev: 1, All: true, Targets: largeHosts(5000, "in_service")}
+	known := func() *protocol.HostList {
+		return &protocol.HostList{Revision: 1, Full: true, Hosts: largeHosts(5000, "in_service")}
 	}
 	silent, _ := discoveryOf(t)
 	before := openDesk(t, largeSettings(), 400)
--- a/internal/routing/stream_test.go
+++ b/internal/routing/stream_test.go
@@ -21,7 +21,7 @@
 const megabyte = 1 << 20
 
 // scripted is a host that does with each connection what the function says, once it has read a head.
-func (s *stage) scripted(serve func(nc net.Conn, head *http.Request)) protocol.Entry {
+func (s *stage) scripted(serve func(nc net.Conn, head *http.Request)) protocol.HostEntry {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		panic(err)
@@ -37,13 +37,13 @@
 			}()
 		}
 	}()
-	return protocol.Entry{UID: "scripted", Endpoint: ln.Addr().String(), Zone: "a", State: "in_service"}
+	return protocol.HostEntry{UID: "scripted", Endpoint: ln.Addr().String(), Zone: "a", State: "in_service"}
 }
 
 // playScripted is a stage with one such host.
 func playScripted(serve func(nc net.Conn, head *http.Request)) *stage {
 	s := play()
-	s.takeList(s.list.line, 1, &protocol.List{Rev: 5, All: true, Targets: []protocol.Entry{s.scripted(serve)}})
+	s.takeList(s.list.line, 1, &protocol.HostList{Revision: 5, Full: true, Hosts: []protocol.HostEntry{s.scripted(serve)}})
 	return s
 }
 
@@ -230,8 +230,8 @@
 		nc.(*net.TCPConn).SetLinger(0)
 		nc.Close()
 	})
-	down := protocol.Entry{UID: "down", Endpoint: "127.0.0.1:1", Zone: "a", State: "in_service"}
-	s.takeList(s.list.line, 1, &protocol.List{Rev: 5, All: true, Targets: []protocol.Entry{down, breaks}})
+	down := protocol.HostEntry{UID: "down", Endpoint: "127.0.0.1:1", Zone: "a", State: "in_service"}
+	s.takeList(s.list.line, 1, &protocol.HostList{Revision: 5, Full: true, Hosts: []protocol.HostEntry{down, breaks}})
 	s.large.Store(0)
 	for i := range 3 {
 		c := s.dial()
@@ -345,15 +345,15 @@
 
 // slowClientOfDrainingHost is a client whose answer has begun and which takes no more of it, so that the gateway waits for it and looks at the
 // host meanwhile. The host, the only one, is told to drain then.
-func (s *stage) slowClientOfDrainingHost(host protocol.Entry, began <-chan bool) *line {
-	s.takeList(s.list.line, 1, &protocol.List{Rev: 5, All: true, Targets: []protocol.Entry{host}})
+func (s *stage) slowClientOfDrainingHost(host protocol.HostEntry, began <-chan bool) *line {
+	s.takeList(s.list.line, 1, &protocol.HostList{Revision: 5, Full: true, Hosts: []protocol.HostEntry{host}})
 	c := s.dial()
 	c.Conn.(*net.TCPConn).SetReadBuffer(64 << 10)
 	io.WriteString(c, text("read", "long", ""))
 	<-began
 	c.r.Peek(1)
 	host.State = "terminating"
-	s.takeList(s.list.line, 0, &protocol.List{Rev: 6, Targets: []protocol.Entry{host}})
+	s.takeList(s.list.line, 0, &protocol.HostList{Revision: 6, Hosts: []protocol.HostEntry{host}})
 	return c
 }
 
--- a/internal/routing/takein.go
+++ b/internal/routing/takein.go
@@ -29,7 +29,7 @@
 func (d *Dispatcher) next(c *transport.Client, head *protocol.Head) bool {
 	held := 0
 	defer func() { d.large.Add(int64(held)) }()
-	said, err := protocol.ReadTransaction(c.Reader, head, func() error { return c.Write(net.Buffers{protocol.GoOn}) },
+	said, err := protocol.ReadTransaction(c.Reader, head, func() error { return c.Write(net.Buffers{protocol.ContinueResponse}) },
 		func(bytes int) bool {
 			if !d.roomFor(bytes) {
 				return false
@@ -49,16 +49,16 @@
 	case c.PeerClosed(): // while it waited behind another, or to be accepted
 		d.Counters.ClientLeftBeforeAdmission.Add(1)
 		return false
-	case said.Own != "":
-		said.Close = said.Close || d.sendsAway() || said.Rest != nil
+	case said.GatewayPath != "":
+		said.Close = said.Close || d.sendsAway() || said.RemainingBody != nil
 		return d.own(c, said) == nil && !said.Close && !c.OverLimit
 	}
 	t := &tx{said: said, client: c, taken: time.Now(), settled: make(chan struct{}),
 		early: c.Reader.Buffered() > 0}
-	if said.Rest != nil {
-		t.up = make(chan *transport.Rest, upMost)
+	if said.RemainingBody != nil {
+		t.up = make(chan *transport.BodyWriter, upMost)
 	}
-	if !d.admit(t) || said.Rest != nil && !d.feed(t) {
+	if !d.admit(t) || said.RemainingBody != nil && !d.feed(t) {
 		return false
 	}
 	// While hops are out the connection is watched, as its end is all that a client that leaves says. The
@@ -75,34 +75,34 @@
 
 // answerWrong answers what can't be understood; the connection can't be read on.
 func (d *Dispatcher) answerWrong(c *transport.Client, err error) {
-	wrong := protocol.WrongOf(err)
+	wrong := protocol.AsHTTPError(err)
 	if wrong == nil {
 		if !errors.Is(err, io.EOF) {
 			d.Counters.ClientReadErrors.Add(1)
 		}
 		return
 	}
-	d.Counters.wrong(wrong.What, slog.Int("status", wrong.Status))
-	c.WriteFinal(protocol.Plain(wrong.Status, wrong.What+"\n", 0, true))
+	d.Counters.wrong(wrong.Text, slog.Int("status", wrong.Status))
+	c.WriteFinal(protocol.TextResponse(wrong.Status, wrong.Text+"\n", 0, true))
 }
 
 // own answers a call to the gateway itself.
 func (d *Dispatcher) own(c *transport.Client, said *protocol.Transaction) error {
 	status, text := 404, "not here\n"
-	switch said.Own {
-	case protocol.ReadyTarget:
+	switch said.GatewayPath {
+	case protocol.ReadyPath:
 		if status, text = 503, "not ready\n"; d.Ready() {
 			status, text = 200, "ready\n"
 		}
 	case "/counters":
 		status, text = 200, d.CountersText()
 	}
-	return c.Write(bare(said, protocol.Plain(status, text, 0, said.Close)))
+	return c.Write(bare(said, protocol.TextResponse(status, text, 0, said.Close)))
 }
 
 // bare leaves out the body of an answer to one that asked for the head alone.
 func bare(said *protocol.Transaction, b net.Buffers) net.Buffers {
-	if said.Bare {
+	if said.HeadOnly {
 		return b[:min(len(b), 2)]
 	}
 	return b
--- a/internal/routing/tell.go
+++ b/internal/routing/tell.go
@@ -13,7 +13,7 @@
 
 // tells are the ways to the other gateways.
 type tells struct {
-	socket *transport.Datagrams
+	socket *transport.DatagramSocket
 	peers  []netip.AddrPort // by number
 	others []netip.AddrPort // without the own one
 	all    netip.AddrPort   // reaches all others at once, where there is one
@@ -52,7 +52,7 @@
 	return n
 }
 
-func (d *Dispatcher) sendTell(socket *transport.Datagrams, at netip.AddrPort, msg []byte) {
+func (d *Dispatcher) sendTell(socket *transport.DatagramSocket, at netip.AddrPort, msg []byte) {
 	if err := socket.Send(at, msg); err != nil {
 		d.Counters.PeerMessagesUnsent.Add(1)
 		if d.Counters.lines.allows() {
--- a/internal/routing/watch.go
+++ b/internal/routing/watch.go
@@ -21,8 +21,8 @@
 
 // listing is what is known of the list; the desk's lock guards it.
 type listing struct {
-	line     *transport.Line // to discovery; only the watch calls on it
-	old      *transport.Line // to where discovery was, until it is heard at the new address
+	line     *transport.DiscoveryConn // to discovery; only the watch calls on it
+	old      *transport.DiscoveryConn // to where discovery was, until it is heard at the new address
 	rev      int64
 	has      bool // a list of this discovery is in hand
 	watching bool
@@ -64,7 +64,7 @@
 	}
 	d.closeOld()
 	d.list.old = d.list.line
-	d.list.line, d.list.rev, d.list.has, d.list.watching = &transport.Line{Addr: addr}, 0, false, false
+	d.list.line, d.list.rev, d.list.has, d.list.watching = &transport.DiscoveryConn{Addr: addr}, 0, false, false
 	d.ask()
 }
 
@@ -79,15 +79,15 @@
 // before, only what goes. One that is older than what is in hand, as a discovery that has begun anew or lags behind may answer, is
 // not taken: all is asked for. Where that is older too the numbers begin anew; a host that was said to drain, and has not started
 // since, does so still.
-func (d *Dispatcher) dated(line *transport.Line, kind logic.ListKind, list *protocol.List) bool {
-	older := list.Rev < d.list.rev
+func (d *Dispatcher) dated(line *transport.DiscoveryConn, kind logic.ListKind, list *protocol.HostList) bool {
+	older := list.Revision < d.list.rev
 	switch {
 	case line == d.list.old:
-		list.Targets = slices.DeleteFunc(list.Targets, func(e protocol.Entry) bool {
+		list.Hosts = slices.DeleteFunc(list.Hosts, func(e protocol.HostEntry) bool {
 			id, known := d.list.ids[e.UID]
 			return !known || !d.list.takes(id) || e.Host(id, d.since).State == logic.HostReady
 		})
-		return len(list.Targets) > 0
+		return len(list.Hosts) > 0
 	case line != d.list.line:
 		return false
 	case older && d.list.has && kind != logic.ListCached:
@@ -95,11 +95,11 @@
 		d.list.has = false
 		return false
 	}
-	for i := range list.Targets {
-		e := &list.Targets[i]
+	for i := range list.Hosts {
+		e := &list.Hosts[i]
 		boot, drains := d.list.drains[d.list.ids[e.UID]]
 		if older && drains && boot == e.BootMS && e.Host(0, d.since).State == logic.HostReady {
-			e.State = protocol.Terminating
+			e.State = protocol.StateTerminating
 		}
 	}
 	return true
@@ -115,10 +115,10 @@
 // watch calls for the list until a call is lost. The next call comes at once, so that the watch goes on. One that fell silent, or was
 // broken off, says nothing against discovery, and what it missed counts as told soon: it is had again at once, and only the next loss is
 // for the module. One that was refused is that already: discovery is down, or has too many callers.
-func (d *Dispatcher) watch(line *transport.Line) {
+func (d *Dispatcher) watch(line *transport.DiscoveryConn) {
 	for again := false; ; {
 		d.mu.Lock()
-		target, wait, late, current, rev := protocol.ListTarget, time.Duration(0), callLate, d.list.line == line, d.list.rev
+		target, wait, late, current, rev := protocol.HostListPath, time.Duration(0), callLate, d.list.line == line, d.list.rev
 		if d.list.has {
 			wait, late = watchWait, listLate
 			target = protocol.WatchTarget(d.list.rev, wait)
@@ -140,11 +140,11 @@
 			continue
 		}
 		kind := logic.ListChanges
-		if list.All {
+		if list.Full {
 			kind = logic.ListComplete
 		}
 		d.takeList(line, kind, list)
-		if (len(list.Targets) == 0 || list.Rev == rev) && time.Since(called) < hurry { // one that does not wait is not called without a pause
+		if (len(list.Hosts) == 0 || list.Revision == rev) && time.Since(called) < hurry { // one that does not wait is not called without a pause
 			time.Sleep(hurry)
 		}
 	}
@@ -154,7 +154,7 @@
 // and after a backoff at the latest. Where there are many gateways the module lets up to half of the time pass for which a gateway need not
 // ask at all, which is longer than a change takes to count as told. Of a list that is pushed what comes at discovery's return counts at once:
 // it is called for all the time.
-func (d *Dispatcher) lost(line *transport.Line, err error, out time.Duration) (over bool) {
+func (d *Dispatcher) lost(line *transport.DiscoveryConn, err error, out time.Duration) (over bool) {
 	pause := time.Duration(0)
 	d.decide(func(now time.Duration) {
 		if over = d.list.line != line || !d.opened.Pushed; d.list.line == line {
@@ -186,18 +186,18 @@
 		return false
 	}
 	return errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) ||
-		errors.Is(err, syscall.EPIPE) || protocol.Torn(err)
+		errors.Is(err, syscall.EPIPE) || protocol.IsTruncated(err)
 }
 
-func (d *Dispatcher) callList(line *transport.Line, target string, within time.Duration) (list *protocol.List, err error) {
+func (d *Dispatcher) callList(line *transport.DiscoveryConn, target string, within time.Duration) (list *protocol.HostList, err error) {
 	d.Counters.ListCalls.Add(1)
-	err = line.Call(protocol.Call(target, line.Addr), within, func(r *bufio.Reader) (bool, error) {
-		body, status, keep, err := protocol.ReadList(r)
+	err = line.RoundTrip(protocol.EncodeGet(target, line.Addr), within, func(r *bufio.Reader) (bool, error) {
+		body, status, keep, err := protocol.ReadHostList(r)
 		if err == nil && status != 200 {
 			err = fmt.Errorf("discovery answers %d", status)
 		}
 		if err == nil {
-			list, err = protocol.ParseList(body)
+			list, err = protocol.ParseHostList(body)
 		}
 		return keep, err
 	})
@@ -205,7 +205,7 @@
 }
 
 // takeList hands a list to the module, unless discovery has moved since it was called for.
-func (d *Dispatcher) takeList(line *transport.Line, kind logic.ListKind, list *protocol.List) {
+func (d *Dispatcher) takeList(line *transport.DiscoveryConn, kind logic.ListKind, list *protocol.HostList) {
 	d.decide(func(now time.Duration) {
 		if !d.dated(line, kind, list) {
 			return
@@ -214,7 +214,7 @@
 			kind = logic.ListChanges
 		} else {
 			d.closeOld()
-			d.list.rev, d.list.has = list.Rev, true
+			d.list.rev, d.list.has = list.Revision, true
 		}
 		var hosts []logic.Host
 		drains := false
@@ -222,8 +222,8 @@
 		if kind != logic.ListChanges {
 			d.list.addr, d.list.drains = map[logic.HostID]string{}, map[logic.HostID]int64{}
 		}
-		for i := range list.Targets {
-			e := &list.Targets[i]
+		for i := range list.Hosts {
+			e := &list.Hosts[i]
 			id, ok := d.list.number(e.UID)
 			if !ok {
 				d.then(func() { slog.Error("two hosts with one number: left out", "uid", e.UID, "number", id) })
@@ -246,12 +246,12 @@
 		}
 		are := d.list.targets()
 		d.then(func() {
-			if kind != logic.ListChanges || len(list.Targets) > 0 {
-				slog.Info("list", "rev", list.Rev, "whole", kind != logic.ListChanges, "entries", len(list.Targets))
+			if kind != logic.ListChanges || len(list.Hosts) > 0 {
+				slog.Info("list", "rev", list.Revision, "whole", kind != logic.ListChanges, "entries", len(list.Hosts))
 			}
 			for to := range was { // in any order: they are closed
 				if !are[to] {
-					d.pool.Close(to)
+					d.pool.CloseIdleTo(to)
 				}
 			}
 			if drains { // what such hosts still give may be lost with them
@@ -272,7 +272,7 @@
 }
 
 func (l *listing) target(id logic.HostID) transport.Target {
-	return transport.Target{Host: uint32(id), Addr: l.addr[id]}
+	return transport.Target{HostID: uint32(id), Addr: l.addr[id]}
 }
 
 // takes tells whether a host is listed and does not drain.
--- a/internal/transport/conn_limit_test.go
+++ b/internal/transport/conn_limit_test.go
@@ -20,14 +20,14 @@
 	limit.TryAcquire()
 	time.AfterFunc(50*time.Millisecond, limit.Release)
 	talk(p, addr, "one", time.Second, false)
-	p.CloseIdle()
+	p.CloseAllIdle()
 	until(func() bool { return limit.InUse() == 0 })
 	limit.TryAcquire()
 	talk(p, addr, "none", time.Second, false)
-	done := make(chan How, 1)
-	x := &Exchange{Until: time.Now().Add(time.Second), Done: func(how How) { done <- how }}
+	done := make(chan Outcome, 1)
+	x := &Exchange{Deadline: time.Now().Add(time.Second), OnDone: func(how Outcome) { done <- how }}
 	p.Start(Target{Addr: addr}, x)
-	x.GiveUp()
+	x.Cancel()
 	fmt.Println("given up:", hows[<-done], "sockets:", limit.InUse())
 	// Output:
 	// one: answered "answer\n", 1 opened
--- a/internal/transport/datagrams.go
+++ b/internal/transport/datagrams.go
@@ -8,12 +8,12 @@
 	"syscall"
 )
 
-// Datagrams is the socket on which gateways tell each other.
-type Datagrams struct{ conn *net.UDPConn }
+// DatagramSocket is the socket on which gateways tell each other.
+type DatagramSocket struct{ conn *net.UDPConn }
 
 // ListenDatagrams opens the socket at an address. Its receive buffer is sized for so many senders that send at the same time, as far
 // as the system allows (net.core.rmem_max); where that is less, the log says so.
-func ListenDatagrams(addr string, senders int) (*Datagrams, error) {
+func ListenDatagrams(addr string, senders int) (*DatagramSocket, error) {
 	at, err := net.ResolveUDPAddr("udp", addr)
 	if err != nil {
 		return nil, err
@@ -22,7 +22,7 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &Datagrams{conn}
+	d := &DatagramSocket{conn}
 	wanted := max(minPendingDatagrams, datagramsPerSender*senders) * datagramBufferCost
 	if err := conn.SetReadBuffer(wanted); err != nil {
 		slog.Warn("receive buffer of datagrams left as it was", "error", err)
@@ -34,7 +34,7 @@
 }
 
 // readBuffer is the size of the receive buffer, in the bytes that it is set by; 0 where the system does not tell.
-func (d *Datagrams) readBuffer() int {
+func (d *DatagramSocket) readBuffer() int {
 	raw, err := d.conn.SyscallConn()
 	if err != nil {
 		return 0
@@ -49,13 +49,13 @@
 }
 
 // Send sends one datagram.
-func (d *Datagrams) Send(to netip.AddrPort, msg []byte) error {
+func (d *DatagramSocket) Send(to netip.AddrPort, msg []byte) error {
 	_, err := d.conn.WriteToUDPAddrPort(msg, to)
 	return err
 }
 
 // Serve hands on what arrives, longer datagrams cut to one byte over most, until the socket is closed.
-func (d *Datagrams) Serve(most int, handle func(from netip.AddrPort, msg []byte)) {
+func (d *DatagramSocket) Serve(most int, handle func(from netip.AddrPort, msg []byte)) {
 	buf := make([]byte, most+1)
 	for {
 		n, from, err := d.conn.ReadFromUDPAddrPort(buf)
@@ -69,4 +69,4 @@
 }
 
 // Close closes the socket and ends Serve.
-func (d *Datagrams) Close() { d.conn.Close() }
+func (d *DatagramSocket) Close() { d.conn.Close() }
--- a/internal/transport/line.go
+++ b/internal/transport/line.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Line is one connection that is used for call after call, one at a time. Close may come at any time.
-type Line struct {
+// DiscoveryConn is one connection that is used for call after call, one at a time. Close may come at any time.
+type DiscoveryConn struct {
 	Addr string
 	r    *bufio.Reader
 
@@ -23,7 +23,7 @@
 // heard reads an answer. One that comes may take its time, by how much has come: a list of ten thousand hosts is megabytes, and a
 // discovery that all call at once is slow. One that dribbles, or stops, is late all the same.
 type heard struct {
-	l    *Line
+	l    *DiscoveryConn
 	conn net.Conn
 }
 
@@ -36,8 +36,8 @@
 	return n, err
 }
 
-// Call writes a message and has its answer read, both within a time, and what comes of a long answer by its pace; after an error the line begins anew.
-func (l *Line) Call(message net.Buffers, within time.Duration,
+// RoundTrip writes a message and has its answer read, both within a time, and what comes of a long answer by its pace; after an error the line begins anew.
+func (l *DiscoveryConn) RoundTrip(message net.Buffers, within time.Duration,
 	read func(*bufio.Reader) (keep bool, err error)) error {
 	until := time.Now().Add(within)
 	nc, err := l.up(min(within, lineConnectTimeout))
@@ -57,7 +57,7 @@
 }
 
 // up gives the connection, a new one where there is none.
-func (l *Line) up(within time.Duration) (net.Conn, error) {
+func (l *DiscoveryConn) up(within time.Duration) (net.Conn, error) {
 	l.mu.Lock()
 	nc, closed := l.conn, l.closed
 	l.mu.Unlock()
@@ -81,7 +81,7 @@
 	return nc, nil
 }
 
-func (l *Line) drop() {
+func (l *DiscoveryConn) drop() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.conn != nil {
@@ -91,7 +91,7 @@
 }
 
 // Close ends the line and the call that is out on it.
-func (l *Line) Close() {
+func (l *DiscoveryConn) Close() {
 	l.mu.Lock()
 	l.closed = true
 	l.mu.Unlock()
--- a/internal/transport/line_test.go
+++ b/internal/transport/line_test.go
@@ -10,7 +10,7 @@
 
 // A long list that comes slowly is heard to its end, well after a short answer would be late; one that dribbles is lost in time, and so is one that
 // stops. Lost by the whole call's time, a list of ten thousand hosts was never had from a slow discovery (Example_restartedAtOnce).
-func ExampleLine_Call() {
+func ExampleDiscoveryConn_RoundTrip() {
 	const long = 300 << 10
 	addr, end := script(
 		func(nc net.Conn, r *bufio.Reader) {
@@ -29,10 +29,10 @@
 			io.Copy(io.Discard, nc)
 		})
 	defer end()
-	l := &Line{Addr: addr}
+	l := &DiscoveryConn{Addr: addr}
 	for _, what := range []string{"slowly", "dribbles", "stops"} {
 		began, got := time.Now(), 0
-		err := l.Call(net.Buffers{[]byte("go")}, 100*time.Millisecond, func(r *bufio.Reader) (bool, error) {
+		err := l.RoundTrip(net.Buffers{[]byte("go")}, 100*time.Millisecond, func(r *bufio.Reader) (bool, error) {
 			n, err := io.ReadFull(r, make([]byte, long))
 			got = n
 			return false, err
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -14,34 +14,34 @@
 	"spanmux/internal/must"
 )
 
-// How tells how an exchange ended.
-type How int
+// Outcome tells how an exchange ended.
+type Outcome int
 
 const (
-	Answered   How = iota
-	NeverUp        // no connection
-	NotWritten     // it broke before the last byte was written
-	Broken         // it broke after that, or the answer made no sense
-	TimedOut
-	GivenUp
-	LimitReached // this process had no socket for it: never ran, and its host knows nothing of it
-	Withdrawn    // given up before its last byte was written, or not wanted any more as it was to be: never ran
+	OutcomeAnswered      Outcome = iota
+	OutcomeConnectFailed         // no connection
+	OutcomeNotWritten            // it broke before the last byte was written
+	OutcomeBroken                // it broke after that, or the answer made no sense
+	OutcomeTimedOut
+	OutcomeCancelled
+	OutcomeNoSlot    // this process had no socket for it: never ran, and its host knows nothing of it
+	OutcomeWithdrawn // given up before its last byte was written, or not wanted any more as it was to be: never ran
 )
 
 // Exchange is one message to a host and what comes back. Done is called exactly once.
 type Exchange struct {
-	Message func() net.Buffers // made when it is written, so that it can say what time is left
-	Until   time.Time
-	// Wanted is nil, or tells whether the message is still to be sent; it is asked as a connection is there. It may have been long in coming.
-	Wanted  func() bool
-	Read    func(*bufio.Reader) (keep bool, err error)
-	Written func() // nil, or called once the last byte of the message is written
-	Done    func(How)
-	// Rest is nil, or takes what writes the rest where Message is only the beginning; it returns at once, and false where nothing
+	BuildMessage func() net.Buffers // made when it is written, so that it can say what time is left
+	Deadline     time.Time
+	// StillWanted is nil, or tells whether the message is still to be sent; it is asked as a connection is there. It may have been long in coming.
+	StillWanted  func() bool
+	ReadResponse func(*bufio.Reader) (keep bool, err error)
+	OnWritten    func() // nil, or called once the last byte of the message is written
+	OnDone       func(Outcome)
+	// StreamBody is nil, or takes what writes the rest where Message is only the beginning; it returns at once, and false where nothing
 	// is to be written any more. The time until which the exchange may take is given with the last piece.
-	Rest func(*Rest) bool
-	// Waited is the time for which it waited for a socket of this process, which is none of its host's.
-	Waited time.Duration
+	StreamBody func(*BodyWriter) bool
+	// SlotWait is the time for which it waited for a socket of this process, which is none of its host's.
+	SlotWait time.Duration
 
 	mu    sync.Mutex
 	given bool
@@ -50,14 +50,14 @@
 	c     *hostConn // from when the message is written
 }
 
-// Within has what is read next of an answer that goes on come within a time.
-func (x *Exchange) Within(d time.Duration) { x.c.conn.SetReadDeadline(time.Now().Add(d)) }
+// SetReadTimeout has what is read next of an answer that goes on come within a time.
+func (x *Exchange) SetReadTimeout(d time.Duration) { x.c.conn.SetReadDeadline(time.Now().Add(d)) }
 
-// Whole tells, as its answer is read, whether the last byte of the message was written; if not, it never is.
-func (x *Exchange) Whole() bool { return x.c.wasWhole() }
+// FullyWritten tells, as its answer is read, whether the last byte of the message was written; if not, it never is.
+func (x *Exchange) FullyWritten() bool { return x.c.wasWhole() }
 
-// Rest writes what is left of a message.
-type Rest struct {
+// BodyWriter writes what is left of a message.
+type BodyWriter struct {
 	c *hostConn
 	x *Exchange
 }
@@ -66,7 +66,7 @@
 var ErrUnwanted = errors.New("not wanted any more")
 
 // Write writes a further piece as long as it is wanted; nothing has run as long as the last one is missing. A host may take none for long.
-func (r *Rest) Write(piece net.Buffers, wanted func() bool) error {
+func (r *BodyWriter) Write(piece net.Buffers, wanted func() bool) error {
 	for until := time.Now().Add(streamWriteTimeout); ; {
 		r.c.conn.SetWriteDeadline(time.Now().Add(wantedPollInterval))
 		_, err := piece.WriteTo(r.c.conn) // what has gone is not in it any more
@@ -83,12 +83,12 @@
 	}
 }
 
-// Break ends the connection before the last piece: nothing has run.
-func (r *Rest) Break() { r.c.conn.Close() }
+// Abort ends the connection before the last piece: nothing has run.
+func (r *BodyWriter) Abort() { r.c.conn.Close() }
 
-// Last writes the last piece; the answer is to come within a time from then on. It is written under the connection's lock: a host that
+// WriteLast writes the last piece; the answer is to come within a time from then on. It is written under the connection's lock: a host that
 // has all of it, and ends the connection at once, must not be taken for one that never had.
-func (r *Rest) Last(piece net.Buffers, within time.Duration, wanted func() bool) error {
+func (r *BodyWriter) WriteLast(piece net.Buffers, within time.Duration, wanted func() bool) error {
 	r.c.mu.Lock()
 	defer r.c.mu.Unlock()
 	if r.c.out != r.x || !r.x.begin() {
@@ -101,15 +101,15 @@
 		r.x.mu.Unlock()
 	}
 	if r.c.whole = err == nil; r.c.whole {
-		r.x.Until = time.Now().Add(within)
-		r.c.conn.SetReadDeadline(r.x.Until)
-		r.x.Written()
+		r.x.Deadline = time.Now().Add(within)
+		r.c.conn.SetReadDeadline(r.x.Deadline)
+		r.x.OnWritten()
 	}
 	return err
 }
 
-// GiveUp ends the exchange by closing its connection.
-func (x *Exchange) GiveUp() {
+// Cancel ends the exchange by closing its connection.
+func (x *Exchange) Cancel() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.given = true
@@ -118,8 +118,8 @@
 	}
 }
 
-// Withdraw ends the exchange unless its last byte is written: nothing of it has run, and the host need not hear more.
-func (x *Exchange) Withdraw() {
+// CancelIfUnwritten ends the exchange unless its last byte is written: nothing of it has run, and the host need not hear more.
+func (x *Exchange) CancelIfUnwritten() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if x.given = x.given || !x.begun; !x.begun && x.stop != nil {
@@ -135,7 +135,7 @@
 	return x.begun
 }
 
-func (x *Exchange) wanted() bool { return x.Wanted == nil || x.Wanted() }
+func (x *Exchange) wanted() bool { return x.StillWanted == nil || x.StillWanted() }
 
 // stopBy says how the exchange is stopped from now on; it is false if that is due already.
 func (x *Exchange) stopBy(stop func()) bool {
@@ -148,14 +148,14 @@
 // Target is a host as the pool knows it. Another host may come to the address of one that has gone: what is open to that
 // one must not serve it.
 type Target struct {
-	Host uint32
-	Addr string
+	HostID uint32
+	Addr   string
 }
 
 // Pool keeps the connections to hosts. The one used last is used first, so that few are kept.
 type Pool struct {
 	limit   *ConnLimit
-	Up      func(ctx context.Context, network, addr string) (net.Conn, error) // opens one
+	Dial    func(ctx context.Context, network, addr string) (net.Conn, error) // opens one
 	within  time.Duration                                                     // for it to come up
 	idle    time.Duration                                                     // for which one is kept idle
 	mu      sync.Mutex
@@ -165,7 +165,7 @@
 }
 
 func NewPool(limit *ConnLimit, connectWithin, hostsKeepIdle time.Duration) *Pool {
-	p := &Pool{limit: limit, Up: (&net.Dialer{}).DialContext, within: connectWithin, idle: hostsKeepIdle / hostIdleDivisor, free: map[Target][]*hostConn{}}
+	p := &Pool{limit: limit, Dial: (&net.Dialer{}).DialContext, within: connectWithin, idle: hostsKeepIdle / hostIdleDivisor, free: map[Target][]*hostConn{}}
 	limit.AddEvictor(p.evict)
 	return p
 }
@@ -189,7 +189,7 @@
 // Start sends an exchange to a host, on a connection that is idle or on a new one.
 func (p *Pool) Start(to Target, x *Exchange) {
 	if !x.wanted() {
-		x.Done(Withdrawn)
+		x.OnDone(OutcomeWithdrawn)
 		return
 	}
 	for c := p.take(to); c != nil; c = p.take(to) {
@@ -267,15 +267,15 @@
 	return true
 }
 
-// Close closes the idle connections to a host to which nothing more is sent.
-func (p *Pool) Close(to Target) {
+// CloseIdleTo closes the idle connections to a host to which nothing more is sent.
+func (p *Pool) CloseIdleTo(to Target) {
 	for c := p.take(to); c != nil; c = p.take(to) {
 		c.conn.Close()
 	}
 }
 
-// CloseIdle closes all on which nothing is out.
-func (p *Pool) CloseIdle() {
+// CloseAllIdle closes all on which nothing is out.
+func (p *Pool) CloseAllIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, free := range p.free { // in any order: all are closed
@@ -287,30 +287,30 @@
 }
 
 func (p *Pool) dial(to Target, x *Exchange) {
-	ctx, cancel := context.WithDeadline(context.Background(), earlier(x.Until, time.Now().Add(p.within)))
+	ctx, cancel := context.WithDeadline(context.Background(), earlier(x.Deadline, time.Now().Add(p.within)))
 	defer cancel()
 	if !x.stopBy(cancel) {
-		x.Done(Withdrawn)
+		x.OnDone(OutcomeWithdrawn)
 		return
 	}
 	began := time.Now()
 	acquired := p.limit.Acquire(ctx)
-	x.Waited = time.Since(began)
+	x.SlotWait = time.Since(began)
 	if !acquired {
 		if x.stopBy(nil) {
-			x.Done(LimitReached)
+			x.OnDone(OutcomeNoSlot)
 		} else {
-			x.Done(Withdrawn)
+			x.OnDone(OutcomeWithdrawn)
 		}
 		return
 	}
-	nc, err := p.Up(ctx, "tcp", to.Addr)
+	nc, err := p.Dial(ctx, "tcp", to.Addr)
 	if err != nil {
 		p.limit.Release()
 		if x.stopBy(nil) {
-			x.Done(NeverUp)
+			x.OnDone(OutcomeConnectFailed)
 		} else {
-			x.Done(Withdrawn)
+			x.OnDone(OutcomeWithdrawn)
 		}
 		return
 	}
@@ -318,13 +318,13 @@
 	if !x.wanted() { // it was long in coming up
 		nc.Close()
 		p.limit.Release()
-		x.Done(Withdrawn)
+		x.OnDone(OutcomeWithdrawn)
 		return
 	}
 	nc.(*net.TCPConn).SetWriteBuffer(sendBufferSize)
 	c := &hostConn{pool: p, to: to, conn: nc, socket: socketStateOf(nc), r: bufio.NewReaderSize(nc, hostBufferSize)}
 	if !c.send(x) { // its host speaks, or ends it, unasked
-		x.Done(NotWritten)
+		x.OnDone(OutcomeNotWritten)
 	}
 	c.serve()
 }
@@ -354,25 +354,25 @@
 	}
 	must.Hold(c.out == nil, "one exchange a connection")
 	c.out, c.whole, x.c = x, false, c
-	c.conn.SetDeadline(x.Until)
-	if !x.stopBy(func() { c.conn.Close() }) || x.Rest == nil && !x.begin() {
+	c.conn.SetDeadline(x.Deadline)
+	if !x.stopBy(func() { c.conn.Close() }) || x.StreamBody == nil && !x.begin() {
 		c.conn.Close() // its goroutine ends the exchange
 		return true
 	}
-	message := x.Message()
+	message := x.BuildMessage()
 	_, err := message.WriteTo(c.conn)
 	switch {
 	case err != nil:
 		c.conn.Close()
-	case x.Rest != nil:
-		x.Until = time.Now().Add(maxBodyTime)
-		c.conn.SetReadDeadline(x.Until)
-		if !x.Rest(&Rest{c, x}) {
+	case x.StreamBody != nil:
+		x.Deadline = time.Now().Add(maxBodyTime)
+		c.conn.SetReadDeadline(x.Deadline)
+		if !x.StreamBody(&BodyWriter{c, x}) {
 			c.conn.Close()
 		}
 	default:
-		if c.whole = true; x.Written != nil {
-			x.Written()
+		if c.whole = true; x.OnWritten != nil {
+			x.OnWritten()
 		}
 	}
 	return true
@@ -392,15 +392,15 @@
 		}
 		keep := false
 		if err == nil {
-			keep, err = x.Read(c.r)
+			keep, err = x.ReadResponse(c.r)
 		}
 		whole := c.wasWhole()
 		how := x.ended(err, whole)
-		if keep = keep && whole && how == Answered && c.r.Buffered() == 0; keep {
+		if keep = keep && whole && how == OutcomeAnswered && c.r.Buffered() == 0; keep {
 			c.release()
 			c.pool.park(c)
 		}
-		x.Done(how)
+		x.OnDone(how)
 		if !keep {
 			return
 		}
@@ -415,7 +415,7 @@
 	defer c.mu.Unlock()
 	if c.out == nil {
 		c.dead = true
-	} else if errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(c.out.Until) {
+	} else if errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(c.out.Deadline) {
 		return nil, true
 	}
 	return c.out, false
@@ -438,21 +438,21 @@
 }
 
 // ended tells how the exchange ended; from then on it can't be given up.
-func (x *Exchange) ended(err error, whole bool) How {
+func (x *Exchange) ended(err error, whole bool) Outcome {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.stop = nil
 	switch {
 	case err == nil:
-		return Answered
+		return OutcomeAnswered
 	case x.given && !whole:
-		return Withdrawn
+		return OutcomeWithdrawn
 	case x.given:
-		return GivenUp
+		return OutcomeCancelled
 	case !whole:
-		return NotWritten
+		return OutcomeNotWritten
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return TimedOut
+		return OutcomeTimedOut
 	}
-	return Broken
+	return OutcomeBroken
 }
--- a/internal/transport/succession.go
+++ b/internal/transport/succession.go
@@ -12,11 +12,11 @@
 	"time"
 )
 
-// Succession is where a process takes connections over from the one that it replaces.
-type Succession struct{ ln *net.UnixListener }
+// HandoverListener is where a process takes connections over from the one that it replaces.
+type HandoverListener struct{ ln *net.UnixListener }
 
-// Succeed listens at a path; what a process before left there gives way.
-func Succeed(path string) (*Succession, error) {
+// ListenHandover listens at a path; what a process before left there gives way.
+func ListenHandover(path string) (*HandoverListener, error) {
 	own := fmt.Sprintf("%s.%d", path, os.Getpid())
 	os.Remove(own)
 	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: own, Net: "unix"})
@@ -29,14 +29,14 @@
 		os.Remove(own)
 		return nil, err
 	}
-	return &Succession{ln}, nil
+	return &HandoverListener{ln}, nil
 }
 
-func (s *Succession) Close() { s.ln.Close() }
+func (s *HandoverListener) Close() { s.ln.Close() }
 
 // Serve takes what is handed over, until Close: a note that says what it is, and bytes that go with it. Each may wait for room. What is
 // given back is the answer to a process that asks.
-func (s *Succession) Serve(take func(note, bytes []byte, conns []net.Conn) []byte) {
+func (s *HandoverListener) Serve(take func(note, bytes []byte, conns []net.Conn) []byte) {
 	for {
 		from, err := s.ln.AcceptUnix()
 		if errors.Is(err, net.ErrClosed) {
@@ -116,8 +116,8 @@
 	return head
 }
 
-// Ask asks the process that listens at the path, and gives back what it says; nil where there is none, or it has nothing to say.
-func Ask(path string, note []byte) []byte {
+// QueryProcess asks the process that listens at the path, and gives back what it says; nil where there is none, or it has nothing to say.
+func QueryProcess(path string, note []byte) []byte {
 	to, err := net.DialUnix("unix", nil, &net.UnixAddr{Name: path, Net: "unix"})
 	if err != nil {
 		return nil
@@ -142,10 +142,10 @@
 	return answer
 }
 
-// Hand passes a client's connection, and others that belong to it, on to the process that listens at the path; it is false where nobody
+// HandOverClient passes a client's connection, and others that belong to it, on to the process that listens at the path; it is false where nobody
 // else does, or has not all of it. Once all is sent the connections are the other's, whether or not that says so in time: two may not
 // write to one client.
-func Hand(path string, note, bytes []byte, c *Client, more ...net.Conn) bool {
+func HandOverClient(path string, note, bytes []byte, c *Client, more ...net.Conn) bool {
 	if max(len(note), len(bytes)) > maxHandoverBytes {
 		return false
 	}
@@ -205,8 +205,8 @@
 	return pid
 }
 
-// Host is the connection of an exchange whose answer goes on.
-func (x *Exchange) Host() net.Conn { return x.c.conn }
+// HostConn is the connection of an exchange whose answer goes on.
+func (x *Exchange) HostConn() net.Conn { return x.c.conn }
 
 // Adopt registers a client's connection that the previous process handed over within a response, and calls
 // handle for it in a new goroutine. It blocks while there is no slot.
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -45,10 +45,10 @@
 }
 
 func talkTo(p *Pool, to Target, line string, within time.Duration, giveUp bool) {
-	done, answer := make(chan How, 2), ""
-	x := &Exchange{Message: func() net.Buffers { return net.Buffers{[]byte(line), []byte("\n")} },
-		Until: time.Now().Add(within), Done: func(how How) { done <- how },
-		Read: func(r *bufio.Reader) (bool, error) {
+	done, answer := make(chan Outcome, 2), ""
+	x := &Exchange{BuildMessage: func() net.Buffers { return net.Buffers{[]byte(line), []byte("\n")} },
+		Deadline: time.Now().Add(within), OnDone: func(how Outcome) { done <- how },
+		ReadResponse: func(r *bufio.Reader) (bool, error) {
 			text, err := r.ReadString('\n')
 			answer = text
 			return true, err
@@ -57,7 +57,7 @@
 	p.Start(to, x)
 	if giveUp {
 		until(func() bool { return p.Opened.Load() > opened })
-		x.GiveUp()
+		x.Cancel()
 	}
 	fmt.Printf("%s: %s %q, %d opened\n", line, hows[<-done], answer, p.Opened.Load())
 	select {
@@ -81,7 +81,7 @@
 	p := NewPool(NewConnLimit(2), ever, time.Second)
 	talk(p, addr, "first", ever, false)
 	talk(p, addr, "on the same", ever, false)
-	p.Close(Target{Addr: addr})
+	p.CloseIdleTo(Target{Addr: addr})
 	talk(p, addr, "cut", ever, false)
 	talk(p, addr, "hang", 300*time.Millisecond, false)
 	talk(p, addr, "called off", ever, true)
@@ -118,8 +118,8 @@
 	talkTo(p, first, "first", ever, false)
 	talkTo(p, second, "to its successor", ever, false)
 	talkTo(p, first, "second", ever, false)
-	p.Close(first)
-	p.Close(second)
+	p.CloseIdleTo(first)
+	p.CloseIdleTo(second)
 	until(func() bool { return p.limit.InUse() == 0 })
 	fmt.Println("kept of hosts that have gone:", len(p.free))
 	// Output:
@@ -141,20 +141,20 @@
 	defer nc.Close()
 	c := &hostConn{conn: nc, socket: socketStateOf(nc), r: bufio.NewReader(nc)}
 	until(c.socket.readable)
-	fmt.Println("sent:", c.send(&Exchange{Until: time.Now().Add(ever), Message: func() net.Buffers { return nil }}))
+	fmt.Println("sent:", c.send(&Exchange{Deadline: time.Now().Add(ever), BuildMessage: func() net.Buffers { return nil }}))
 	// Output: sent: false
 }
 
 // An exchange given up before it is written is not written.
-func ExampleExchange_GiveUp() {
+func ExampleExchange_Cancel() {
 	addr, end := script(func(nc net.Conn, r *bufio.Reader) {
 		line, _ := r.ReadString('\n')
 		fmt.Printf("host: %q\n", line)
 	})
 	defer end()
-	done := make(chan How)
-	x := &Exchange{Until: time.Now().Add(time.Second), Done: func(how How) { done <- how }}
-	x.GiveUp()
+	done := make(chan Outcome)
+	x := &Exchange{Deadline: time.Now().Add(time.Second), OnDone: func(how Outcome) { done <- how }}
+	x.Cancel()
 	NewPool(NewConnLimit(2), ever, time.Second).Start(Target{Addr: addr}, x)
 	fmt.Println(hows[<-done])
 	// Output: withdrawn
--- a/tools/scale/desk.go
+++ b/tools/scale/desk.go
@@ -80,11 +80,11 @@
 	}
 	var took []time.Duration
 	for i := range changesPlayed {
-		state := protocol.Terminating
+		state := protocol.StateTerminating
 		if i%2 == 1 {
 			state = "in_service"
 		}
-		e := known.Targets[n/2]
+		e := known.Hosts[n/2]
 		text := fmt.Sprintf(`{"rev":%d,"all":false,"targets":[{"uid":%q,"endpoint":%q,"az":%q,"model":%q,"pod_group":%d,"state":%q,"capacity_hint":1}]}`,
 			5+i, e.UID, e.Endpoint, e.Zone, e.Model, e.Cell, state)
 		from := time.Now()
@@ -102,7 +102,7 @@
 // callBytes is the size of a call for the list and of the head of its answer, as the gateway and a usual server write them.
 func callBytes() int {
 	n := 0
-	for _, part := range protocol.Call(protocol.WatchTarget(1_000_000, 20*time.Second), "10.0.0.1:8080") {
+	for _, part := range protocol.EncodeGet(protocol.WatchTarget(1_000_000, 20*time.Second), "10.0.0.1:8080") {
 		n += len(part)
 	}
 	return n + len(strings.Join([]string{"HTTP/1.1 200 OK", "Content-Type: application/json", "Date: Wed, 02 Dec 2026 03:00:00 GMT", "Content-Length: 100", "", ""}, "\r\n"))
--- a/tools/scale/gateway.go
+++ b/tools/scale/gateway.go
@@ -124,7 +124,7 @@
 // listText is discovery's word on so many hosts.
 func listText(n int, all bool) []byte {
 	l := list(n)
-	l.All = all
+	l.Full = all
 	text, err := json.Marshal(l)
 	if err != nil {
 		panic(err)
@@ -132,11 +132,11 @@
 	return text
 }
 
-func list(n int) *protocol.List {
-	l := &protocol.List{Rev: 4, All: true}
+func list(n int) *protocol.HostList {
+	l := &protocol.HostList{Revision: 4, Full: true}
 	in := zones(target["zones"])
 	for i := range n {
-		l.Targets = append(l.Targets, protocol.Entry{UID: fmt.Sprintf("host-%06d", i), Endpoint: fmt.Sprintf("10.%d.%d.%d:8080", i>>16, i>>8&255, i&255),
+		l.Hosts = append(l.Hosts, protocol.HostEntry{UID: fmt.Sprintf("host-%06d", i), Endpoint: fmt.Sprintf("10.%d.%d.%d:8080", i>>16, i>>8&255, i&255),
 			Zone: in[i%len(in)], Model: fmt.Sprintf("kind-%d", i%5), Cell: i % 97, State: "in_service", Size: 1})
 	}
 	return l
--- a/tools/scale/measures.go
+++ b/tools/scale/measures.go
@@ -130,13 +130,13 @@
 func read(text []byte) func() {
 	var hosts []logic.Host // outlives a call, so that the compiler can't leave out the reading
 	return func() {
-		l, err := protocol.ParseList(text)
+		l, err := protocol.ParseHostList(text)
 		if err != nil {
 			panic(err)
 		}
 		hosts = nil
-		for i := range l.Targets {
-			hosts = append(hosts, l.Targets[i].Host(logic.HostID(i+1), since))
+		for i := range l.Hosts {
+			hosts = append(hosts, l.Hosts[i].Host(logic.HostID(i+1), since))
 		}
 	}
 }
