--- a/logic/state.go
+++ b/logic/state.go
@@ -73,7 +73,7 @@
 		work: make([]average, len(profiles)), slow: make([]average, len(profiles)),
 		free: make([]float64, len(profiles)), was: make([]float64, len(profiles)), retries: make([]retries, len(profiles)),
 		heardOf: make([]time.Duration, len(profiles)),
-		errs:    average{n: 1 / workStep}, // none at first
+		errs:    average{n: 1 / mediumTermSmoothing}, // none at first
 		table:   table{byID: map[HostID]*host{}, models: map[string]*model{}}}
 	if price.OpenConnections || b.blind() { // those that it keeps to are its own: all gateways' alike would be crowded
 		b.table.ranks = crc32.ChecksumIEEE(binary.LittleEndian.AppendUint32(nil, uint32(place.GatewayIndex))) | 1
@@ -83,12 +83,12 @@
 		b.admit.tenants = append(b.admit.tenants, tenant{name: t.Name, quota: t.QuotaPerSecond})
 	}
 	for i, p := range profiles {
-		b.work[i].value = firstGuess * float64(p.ServiceGoal)
+		b.work[i].value = initialServiceTimeGoalFraction * float64(p.ServiceGoal)
 		b.free[i] = b.work[i].value
 	}
-	b.at(now+time.Duration(b.chance.draw()*float64(time.Second)), b.periodic)
+	b.at(now+time.Duration(b.chance.draw()*float64(time.Second)), b.everySecond)
 	if from.MaxListPollInterval > 0 {
-		b.at(now+b.spread(askAgain), out.RequestHostList)
+		b.at(now+b.spread(requestRetryDelay), out.RequestHostList)
 	}
 	return b
 }
@@ -99,7 +99,7 @@
 	from InformationSources, price CostModel) {
 	b.turn(now)
 	for i := len(b.profiles); i < len(profiles); i++ {
-		work := average{value: firstGuess * float64(profiles[i].ServiceGoal)}
+		work := average{value: initialServiceTimeGoalFraction * float64(profiles[i].ServiceGoal)}
 		slow, free, like := average{}, work.value, -1
 		for k := range b.profiles {
 			if b.profiles[k].Name == profiles[i].Name {
@@ -172,13 +172,13 @@
 			m.places, m.pace, m.usual, m.held, m.busy = k.Places.average(), k.Pace.average(), k.Usual.average(), k.Held.average(), k.Busy.average()
 		}
 	}
-	if age > staleAge {
+	if age > observationTTL {
 		return
 	}
 	b.errs = l.Errs.average()
 	for _, k := range l.Hosts {
 		h := b.table.readyHost(k.ID)
-		if h == nil || h.lat.n > 0 || k.Up >= 0 && (now-h.StartedAt-k.Up-age).Abs() > startSlack || (k.Up < 0) != (h.StartedAt == 0) {
+		if h == nil || h.lat.n > 0 || k.Up >= 0 && (now-h.StartedAt-k.Up-age).Abs() > maxStartTimeSkew || (k.Up < 0) != (h.StartedAt == 0) {
 			continue
 		}
 		h.weight, h.pace, h.lat, h.paced = k.Weight, k.Pace.average(), k.Latency.average(), now
@@ -194,7 +194,7 @@
 	if b.from.PeersShareInFlight && h != nil && !h.unsaid {
 		h.unsaid = true
 		if b.untold = append(b.untold, h); len(b.untold) == 1 {
-			b.at(b.now+tick, b.tell)
+			b.at(b.now+peerMessageDelay, b.tell)
 		}
 	}
 }
@@ -244,18 +244,18 @@
 
 // relay tells those that draw for other zones how the hosts of this one stand.
 func (b *Balancer) relay() {
-	b.at(b.now+relayTick, b.relay)
+	b.at(b.now+aggregateInterval, b.relay)
 	var sums []PeerEntry
 	for _, h := range b.table.ready {
-		if b.draws(h.group) && !h.whole.open && !b.silent(h) {
-			took := time.Duration(h.slowness() * b.work[0].value)
+		if b.draws(h.group) && !h.whole.open && !b.unresponsive(h) {
+			took := time.Duration(h.boundedServiceTimeRatio() * b.work[0].value)
 			sums = append(sums, PeerEntry{Kind: EntryAggregate, Host: h.ID, InFlight: h.own + h.others, Latency: took})
 		}
 	}
 	for _, g := range b.table.groups {
 		if !b.draws(g) {
 			b.out.SendPeerMessage(b.drawer(g), sums)
-			g.missed(1, int(staleAge/relayTick))
+			g.missed(1, int(observationTTL/aggregateInterval))
 		}
 	}
 }
@@ -265,7 +265,7 @@
 
 // drawer draws for a zone; it is -1 where each gateway draws for itself.
 func (b *Balancer) drawer(g *group) int {
-	if !b.from.PeersShareInFlight || b.place.GatewayCount <= fewGateways {
+	if !b.from.PeersShareInFlight || b.place.GatewayCount <= maxIndependentGateways {
 		return -1
 	}
 	return (g.index + g.skip*len(b.table.groups)) % b.place.GatewayCount
@@ -279,18 +279,18 @@
 // once from what it knows, and asks once a second without waiting, to learn whether that has changed. The same where several that draw were
 // silent one after the other: then it is this gateway, or all, that nobody hears.
 func (b *Balancer) ask(t *tx) {
-	waits := b.asksPay(t) && b.mute < muteFrom
-	if !waits && b.now-b.askedAt < askAgain {
-		b.start(t)
+	waits := b.remotePickWorthwhile(t) && b.mute < unansweredPicksToSuspectIsolation
+	if !waits && b.now-b.askedAt < requestRetryDelay {
+		b.startTransaction(t)
 		return
 	}
 	b.askedAt = b.now
 	asking := &asking{t, b.now, waits}
 	b.asking = append(b.asking, asking)
 	b.out.SendPeerMessage(b.drawer(t.home), []PeerEntry{{Kind: EntryPickRequest, Profile: t.profile, InFlight: t.home.index}})
-	b.at(b.now+min(askWait, (t.stop-b.now)/2), func() { b.unanswered(asking) })
+	b.at(b.now+min(remotePickTimeout, (t.stop-b.now)/2), func() { b.unanswered(asking) })
 	if !waits {
-		b.start(t)
+		b.startTransaction(t)
 	}
 }
 
@@ -301,18 +301,18 @@
 		return
 	}
 	b.asking = slices.Delete(b.asking, i, i+1)
-	b.askTime.add(float64(b.now-a.at), rateStep)
+	b.askTime.add(float64(b.now-a.at), rateSmoothing)
 	home, missed := a.tx.home, 1
-	if !a.waits && b.mute < muteFrom { // it stands for those of its second that were not asked for
-		missed = rowToOpen
+	if !a.waits && b.mute < unansweredPicksToSuspectIsolation { // it stands for those of its second that were not asked for
+		missed = consecutiveFailuresToOpen
 	}
-	home.missed(missed, either(b.mute < muteFrom, rowToOpen, 2*rowToOpen))
+	home.missed(missed, either(b.mute < unansweredPicksToSuspectIsolation, consecutiveFailuresToOpen, 2*consecutiveFailuresToOpen))
 	was := b.mute
-	if b.mute += missed; was < muteFrom && b.mute >= muteFrom { // once heard again all are to ask the same one
+	if b.mute += missed; was < unansweredPicksToSuspectIsolation && b.mute >= unansweredPicksToSuspectIsolation { // once heard again all are to ask the same one
 		home.skip, home.misses = 0, 0
 	}
 	if a.waits {
-		b.start(a.tx)
+		b.startTransaction(a.tx)
 	}
 }
 
@@ -323,19 +323,19 @@
 	if a == nil {
 		return
 	}
-	b.askTime.add(float64(b.now-a.at), rateStep)
+	b.askTime.add(float64(b.now-a.at), rateSmoothing)
 	switch t := a.tx; {
 	case !a.waits || t.done:
 	case k.Host == 0:
 		b.shed++
-		b.finish(t)
-	case h != nil && t.fits(h, b.now) && b.coldRoom(h, t.profile):
+		b.finishTransaction(t)
+	case h != nil && t.mayRunOn(h, b.now) && b.withinColdBudget(h, t.profile):
 		if !b.draws(h.group) { // else it knows better
 			h.hold(from, max(0, k.InFlight-h.own), b.now)
 		}
-		b.send(t, h)
+		b.sendHop(t, h)
 	default:
-		b.start(t)
+		b.startTransaction(t)
 	}
 }
 
@@ -349,7 +349,7 @@
 			b.drawFor(from, k)
 		case h == nil:
 		case k.Kind == EntryHopEnded:
-			b.learn(h, float64(max(1, k.InFlight)), k.Profile, HopResult{k.Outcome, k.Latency, NoLoadReport})
+			b.recordOutcome(h, float64(max(1, k.InFlight)), k.Profile, HopResult{k.Outcome, k.Latency, NoLoadReport})
 		default:
 			if k.Kind == EntryAggregate && k.Latency > 0 { // no time would make it look infinitely fast
 				h.pace.value, h.group.misses = float64(k.Latency)/b.work[k.Profile].value, 0
@@ -366,7 +366,7 @@
 		t.home.skip++ // asked, as those before it are silent
 	}
 	answer := PeerEntry{Kind: EntryPickResponse, Profile: k.Profile}
-	if h := b.admitted(t); h != nil {
+	if h := b.pickAdmitted(t); h != nil {
 		answer.Host, answer.InFlight = h.ID, h.own+h.others
 		by := either(b.draws(h.group), from, b.drawer(h.group))
 		h.hold(by, h.heldBy[by].hops+1, b.now)
@@ -391,7 +391,7 @@
 
 // alone tells whether this is one of many gateways that learn of each other only by what hosts report.
 func (b *Balancer) alone() bool {
-	return !b.from.PeersShareInFlight && b.place.GatewayCount > fewGateways
+	return !b.from.PeersShareInFlight && b.place.GatewayCount > maxIndependentGateways
 }
 
 // told tells whether it learns by reports what others have out at each host.
@@ -410,7 +410,7 @@
 
 // lone tells whether this is one of few that learn of hosts by the ends of their own hops, and by a probe now and then.
 func (b *Balancer) lone() bool {
-	return b.place.GatewayCount <= fewGateways && !b.from.PeersShareInFlight && !b.from.ResponsesReportLoad
+	return b.place.GatewayCount <= maxIndependentGateways && !b.from.PeersShareInFlight && !b.from.ResponsesReportLoad
 }
 
 // probesOnly tells whether it learns of each host by the ends of its own hops and by probes now and then, and from nobody else.
@@ -429,24 +429,24 @@
 			return
 		}
 	case HopHostFull, HopNoConnection:
-		times = feltFull
+		times = rejectionLatencyRatio
 	default:
 		return
 	}
 	h.felt = b.feltAt(h)
-	h.felt, h.feltSince = h.felt+feltStep*(times-h.felt), b.now
+	h.felt, h.feltSince = h.felt+latencyRatioSmoothing*(times-h.felt), b.now
 	if hangs || r.Outcome == HopNoConnection { // the one is that host's alone, the other says nothing of hops that have a connection
 		return
 	}
-	g, most := h.group, b.jamOfOne()
+	g, most := h.group, b.maxCongestionSample()
 	for len(g.jams) < len(b.profiles) {
-		g.jams = append(g.jams, jam{value: jamNone})
+		g.jams = append(g.jams, jam{value: initialCongestion})
 	}
 	for i := range g.jams {
 		j := &g.jams[i]
-		step := min(max(1-math.Exp(-float64(b.now-j.at)/float64(jamFor)), jamSmooth), jamSwift)
-		if b.earns(i) > b.earns(profile) {
-			step *= jamDear
+		step := min(max(1-math.Exp(-float64(b.now-j.at)/float64(congestionTimeConstant)), minCongestionSmoothing), maxCongestionSmoothing)
+		if b.revenueForWork(i) > b.revenueForWork(profile) {
+			step *= higherRevenueSmoothingFactor
 		} else {
 			j.at = b.now
 		}
@@ -456,19 +456,19 @@
 
 // usually is the time that jams are reckoned by: the first guess, a part of the goal, where a profile takes less.
 func (b *Balancer) usually(profile int) float64 {
-	return max(b.free[profile], firstGuess*float64(b.profiles[profile].ServiceGoal))
+	return max(b.free[profile], initialServiceTimeGoalFraction*float64(b.profiles[profile].ServiceGoal))
 }
 
 // feltAt is what hops took at a host of late: one that answers nothing more is forgotten.
 func (b *Balancer) feltAt(h *host) float64 {
-	return 1 + (h.felt-1)*math.Exp(-float64(b.now-h.feltSince)/float64(feltFor))
+	return 1 + (h.felt-1)*math.Exp(-float64(b.now-h.feltSince)/float64(latencyRatioDecayTime))
 }
 
 // jam is what hops take in a zone for a profile, those that are out yet and late included.
 func (b *Balancer) jam(g *group, profile int) float64 {
-	v := jamNone
+	v := initialCongestion
 	if profile < len(g.jams) {
-		v += (g.jams[profile].value - jamNone) * math.Exp(-float64(b.now-g.jams[profile].at)/float64(jamForget))
+		v += (g.jams[profile].value - initialCongestion) * math.Exp(-float64(b.now-g.jams[profile].at)/float64(congestionDecayTime))
 	}
 	if b.sized() { // where hosts stand still what is out says nothing of the others, and the list tells of them
 		return v
@@ -477,9 +477,9 @@
 	for _, t := range b.txs { // in any order: it is a sum
 		for i := range t.hops {
 			k := &t.hops[i]
-			age := float64(b.now-k.at) / b.usually(t.profile) / jamAge
-			if !k.over && k.host.group == g && age > v && b.earns(t.profile) >= b.earns(profile) && !b.suspect(t.tenant) {
-				more += jamOut * (age - v)
+			age := float64(b.now-k.at) / b.usually(t.profile) / lateHopAgeDivisor
+			if !k.over && k.host.group == g && age > v && b.revenueForWork(t.profile) >= b.revenueForWork(profile) && !b.suspectedOutlier(t.tenant) {
+				more += lateHopCongestionFraction * (age - v)
 			}
 		}
 	}
@@ -496,10 +496,10 @@
 
 // freshen probes a host in reach that has not told lately what it holds: answers are few, or late in a jam.
 func (b *Balancer) freshen() {
-	b.probes = min(b.probes+probeEach, probeMost)
+	b.probes = min(b.probes+probesPerTransaction, maxProbeBurst)
 	for _, g := range b.table.groups {
-		for _, h := range g.hosts[:min(b.reach(), len(g.hosts))] {
-			if b.probes >= 1 && !b.isCold(h) && b.now-max(h.restAt, h.probed) > probeAge {
+		for _, h := range g.hosts[:min(b.subsetSize(), len(g.hosts))] {
+			if b.probes >= 1 && !b.isCold(h) && b.now-max(h.restAt, h.probed) > minReportAgeToProbe {
 				h.probed = b.now
 				b.probes--
 				b.out.Probe(h.ID)
@@ -510,20 +510,20 @@
 
 // heard takes a report; to one of many it speaks for the zone.
 func (b *Balancer) heard(h *host, l LoadReport) {
-	calm := h.busyAt > 0 && b.now-h.busyAt < staleAge && math.Abs(l.Utilization-h.busy) < kneeCalm
+	calm := h.busyAt > 0 && b.now-h.busyAt < observationTTL && math.Abs(l.Utilization-h.busy) < maxSteadyUtilizationChange
 	h.report(l, b.now)
 	if b.told() && l.InFlight >= 0 {
 		h.tells(l, calm, b.now)
 		h.group.rest = average{h.rest, 1}
 	} else if b.alone() && l.Queued >= 0 {
-		h.group.queue.add(l.Queued, paceStep)
+		h.group.queue.add(l.Queued, shortTermSmoothing)
 		h.work, h.workAt = l.Queued+max(0, l.RequestsPerSecond*l.LatencyMs/1000), b.now
 	}
 }
 
 // turn begins a call. Where something should have been done long ago the gateway itself stood still until now.
 func (b *Balancer) turn(now time.Duration) {
-	if b.now = now; len(b.due.items) > 0 && now-b.due.items[0].at > stillFrom {
+	if b.now = now; len(b.due.items) > 0 && now-b.due.items[0].at > stallThreshold {
 		b.still = now
 	}
 }
@@ -587,7 +587,7 @@
 
 // spread is a time by chance for a call of the list: in step all would be late together.
 func (b *Balancer) spread(usual time.Duration) time.Duration {
-	all := min(max(usual, time.Duration(b.place.GatewayCount)*askEach), b.from.MaxListPollInterval/2)
+	all := min(max(usual, time.Duration(b.place.GatewayCount)*listPollIntervalPerGateway), b.from.MaxListPollInterval/2)
 	return time.Duration(b.chance.draw() * float64(all))
 }
 
@@ -714,7 +714,7 @@
 	own := max(0, slices.Index(zones, p.Zone))
 	for i := range zones {
 		at := (own + i) % len(zones)
-		t.groups = append(t.groups, &group{zone: zones[at], index: at, jam: average{1, 1 / jamStep}})
+		t.groups = append(t.groups, &group{zone: zones[at], index: at, jam: average{1, 1 / queueingRatioSmoothing}})
 	}
 	for i, g := range t.groups {
 		g.order = append(append(append(g.order, g), t.groups[:i]...), t.groups[i+1:]...)
@@ -849,7 +849,7 @@
 func (t *table) rates(cold func(*host) bool) {
 	for _, m := range t.models { // in any order: each is its own
 		if m.warm > 0 {
-			m.rate.add(m.done/m.warm, rateStep)
+			m.rate.add(m.done/m.warm, rateSmoothing)
 		}
 		m.done, m.warm = 0, 0
 	}
@@ -987,7 +987,7 @@
 		h.busy, h.busyAt = l.Utilization, now
 	}
 	if p := &h.model.places; l.Queued > 0 && l.InFlight > 0 {
-		p.add(max(1, l.InFlight-l.Queued), paceStep)
+		p.add(max(1, l.InFlight-l.Queued), shortTermSmoothing)
 	} else if l.Queued == 0 {
 		p.value = max(p.value, l.InFlight)
 	}
@@ -1003,19 +1003,19 @@
 	h.rest, h.restAt = max(0, l.InFlight-float64(h.own)), now
 	m := h.model
 	if m.held.n == 0 {
-		m.held, m.busy = average{kneeFirst / 2, kneePrior}, average{0.5, kneePrior}
+		m.held, m.busy = average{initialConcurrencyLimit / 2, concurrencyLimitPriorSamples}, average{0.5, concurrencyLimitPriorSamples}
 	}
 	if l.Utilization > 0 && l.InFlight >= 1 {
-		if m.usual.add(l.InFlight, workStep); l.InFlight <= m.usual.value && l.Utilization < kneeBusy && calm {
-			m.held.add(l.InFlight, workStep)
-			m.busy.add(l.Utilization, workStep)
+		if m.usual.add(l.InFlight, mediumTermSmoothing); l.InFlight <= m.usual.value && l.Utilization < maxConcurrencyLimitUtilization && calm {
+			m.held.add(l.InFlight, mediumTermSmoothing)
+			m.busy.add(l.Utilization, mediumTermSmoothing)
 		}
 	}
 }
 
 func (h *host) learnPace(p float64) {
-	h.model.pace.add(p, workStep)
-	h.pace.add(p, paceStep)
+	h.model.pace.add(p, mediumTermSmoothing)
+	h.pace.add(p, shortTermSmoothing)
 }
 
 // settlePaces keeps paces around 1. One not heard of gets no hops to show it well: it goes to its like's.
@@ -1030,31 +1030,31 @@
 	seldom := b.told() || b.lone() || b.sized() // a few short answers are not the least time
 	for i := range b.work {
 		w := &b.work[i]
-		if w.n-b.was[i] > priorPaces { // the time of one rolled back each time would drift away
+		if w.n-b.was[i] > priorServiceTimeRatioSamples { // the time of one rolled back each time would drift away
 			w.value *= mean.value
 		}
 		b.was[i] = w.n
 		// Where gateways tell, a jam is in the crowd and does not raise the work. What stays so long although next to nothing is
 		// taken is no jam, but what a profile takes.
-		b.free[i] *= 1 + either(b.blind() && b.jam(b.table.own(), i) >= jamAlways, riseInJam, freeRise)
-		usual, step := *w, workStep
+		b.free[i] *= 1 + either(b.blind() && b.jam(b.table.own(), i) >= congestionShedRampEnd, congestedMinServiceTimeRisePerSecond, minServiceTimeRisePerSecond)
+		usual, step := *w, mediumTermSmoothing
 		if seldom {
-			usual, step = b.slow[i], slowStep
+			usual, step = b.slow[i], longTermSmoothing
 		}
 		switch {
 		case usual.n == 0: // or what is never answered would yield to nothing, and all others to it
 		case usual.n*step < 1 && !b.from.PeersShareInFlight && (seldom || usual.value >= b.free[i]): // begun in a jam?
-			b.free[i] = min(usual.value, firstGuess*float64(b.profiles[i].ServiceGoal))
+			b.free[i] = min(usual.value, initialServiceTimeGoalFraction*float64(b.profiles[i].ServiceGoal))
 		case b.from.PeersShareInFlight || usual.value < b.free[i]:
 			b.free[i] = usual.value
 		}
 	}
 	for _, m := range b.table.models {
-		m.pace.value = max(m.pace.value/mean.value, paceLeast)
+		m.pace.value = max(m.pace.value/mean.value, minServiceTimeRatio)
 	}
 	for _, h := range own {
-		if h.pace.value /= mean.value; b.now-h.paced > staleAge && h.model.pace.n > 0 {
-			h.pace.value += forget * (h.model.pace.value - h.pace.value)
+		if h.pace.value /= mean.value; b.now-h.paced > observationTTL && h.model.pace.n > 0 {
+			h.pace.value += excessDecayPerSecond * (h.model.pace.value - h.pace.value)
 		}
 	}
 }
@@ -1259,7 +1259,7 @@
 	var parts []float64
 	for i := range a.tenants {
 		t := &a.tenants[i]
-		t.rate.add(t.taken, paceStep)
+		t.rate.add(t.taken, shortTermSmoothing)
 		t.taken = 0
 		parts = append(parts, t.rate.value/t.quota)
 	}
@@ -1267,8 +1267,8 @@
 	for i := range a.tenants {
 		t := &a.tenants[i]
 		portion := t.quota * max(1/gateways, parts[len(parts)/2])
-		t.greedy = t.rate.value > greedyFrom*portion
-		t.tokens = min(max(t.tokens, 0)+portion*overSlack, 2*portion*overSlack)
+		t.greedy = t.rate.value > overSharePortionMultiple*portion
+		t.tokens = min(max(t.tokens, 0)+portion*portionSlackFactor, 2*portion*portionSlackFactor)
 	}
 }
 
--- a/logic/types.go
+++ b/logic/types.go
@@ -16,23 +16,23 @@
 	// it failed.
 	HostListReceived(now time.Duration, kind ListKind, hosts []Host)
 	// TransactionReceived accepts a transaction, which is owed one final answer within its budget.
-	TransactionReceived(now time.Duration, id TxID, a Arrival)
+	TransactionReceived(now time.Duration, id TxID, arrival Arrival)
 	// HopEnded reports the one outcome of a hop; over says that the transaction has its final answer.
-	HopEnded(now time.Duration, id TxID, hop int, r HopResult, over bool)
+	HopEnded(now time.Duration, id TxID, hopIndex int, result HopResult, txAnswered bool)
 	// HopBodySent reports that the last byte of a hop has gone whose transaction was taken while its body was coming: its times count
 	// from now, and only from now on it is work for its host.
-	HopBodySent(now time.Duration, id TxID, hop int)
+	HopBodySent(now time.Duration, id TxID, hopIndex int)
 	// ResponseStarted reports that a streamed answer has begun: from here on the transaction is its host's.
-	ResponseStarted(now time.Duration, id TxID, hop int)
+	ResponseStarted(now time.Duration, id TxID, hopIndex int)
 	// ClientLeft reports that nobody waits for a transaction any more.
 	ClientLeft(now time.Duration, id TxID)
 	// ProbeEnded brings the end of a probe: the load that the host reports, none where there is no answer.
-	ProbeEnded(now time.Duration, host HostID, l LoadReport)
+	ProbeEnded(now time.Duration, host HostID, load LoadReport)
 	// PeerMessageReceived brings what another gateway has told.
-	PeerMessageReceived(now time.Duration, from int, held []PeerEntry)
+	PeerMessageReceived(now time.Duration, from int, entries []PeerEntry)
 	// Reconfigure brings other rules. Profiles keep their places, new ones come behind them; what is open keeps its own.
-	Reconfigure(now time.Duration, profiles []Profile, tenants []Tenant, cold ColdHostRule, drains DrainRule, hops HopRule, from InformationSources,
-		price CostModel)
+	Reconfigure(now time.Duration, profiles []Profile, tenants []Tenant, coldRule ColdHostRule, drainRule DrainRule, hopRule HopRule, sources InformationSources,
+		costModel CostModel)
 	// AvoidedHosts tells how many hosts of the list get nothing new now; it changes nothing.
 	AvoidedHosts() int
 	// TimerFired reports that a timer set through Doer has fallen due.
@@ -40,7 +40,7 @@
 	// ExportLearned is what was learnt so far, for a process that replaces this one; it changes nothing.
 	ExportLearned(now time.Duration) LearnedState
 	// ImportLearned takes in what such a process had learnt so long ago, of the profiles, kinds and hosts that are known here.
-	ImportLearned(now time.Duration, l LearnedState, age time.Duration)
+	ImportLearned(now time.Duration, learned LearnedState, age time.Duration)
 }
 
 // LearnedState is what one process of a gateway can hand to the next. All spans are of time or from its own moment, as the clocks of two
@@ -84,20 +84,20 @@
 // Executor is what a protocol does for the module.
 type Executor interface {
 	// SendHop sends the transaction to a host, for as long as wait; hops of a transaction count from 0.
-	SendHop(id TxID, host HostID, wait time.Duration)
-	CallOff(id TxID, hop int)
+	SendHop(id TxID, host HostID, timeout time.Duration)
+	CallOff(id TxID, hopIndex int)
 	// RollBack answers finally that nothing is left behind; the client may come back after the time given.
-	RollBack(id TxID, after time.Duration)
+	RollBack(id TxID, retryAfter time.Duration)
 	// Abandon answers finally and promises nothing.
 	Abandon(id TxID)
 	Probe(host HostID)
 	// CloseIdleConnections closes the connections to a host on which nothing is out.
 	CloseIdleConnections(host HostID)
 	// SendPeerMessage tells another gateway, or all with -1, what is out at hosts.
-	SendPeerMessage(to int, held []PeerEntry)
+	SendPeerMessage(to int, entries []PeerEntry)
 	// RequestHostList asks for the list and for its changes from then on.
 	RequestHostList()
-	SetTimer(in time.Duration)
+	SetTimer(delay time.Duration)
 	Log(line string)
 }
 
