--- a/logic/logic.go
+++ b/logic/logic.go
@@ -137,63 +137,63 @@
 
 // everySecond is the work of each second, as often as the decision record changes weights.
 func (b *Balancer) everySecond() {
-	b.at(b.now+time.Second, b.everySecond)
-	b.table.rates(b.isCold)
-	for _, h := range b.table.ready {
-		h.expire(b.now - observationTTL)
-		b.sayAgain(h)
-		b.releaseUnused(h, idleConnectionTimeout)
-		if b.from.ProbesReportLoad && !b.isCold(h) && b.draws(h.group) && (b.relaying || b.randomlyElected()) {
-			b.out.Probe(h.ID)
+	b.schedule(b.now+time.Second, b.everySecond)
+	b.hosts.updateAnswerRates(b.isCold)
+	for _, h := range b.hosts.ready {
+		h.expirePeerInFlight(b.now - observationTTL)
+		b.markForResend(h)
+		b.closeIdleConnections(h, idleConnectionTimeout)
+		if b.sources.ProbesReportLoad && !b.isCold(h) && b.picksFor(h.group) && (b.coordinating || b.randomlyElected()) {
+			b.executor.Probe(h.ID)
 		}
 	}
-	for _, g := range b.table.groups {
-		if !b.byZone() {
+	for _, g := range b.hosts.groups {
+		if !b.judgesByZone() {
 			adjustWeights(g.hosts)
 		}
-		g.rest.value -= excessDecayPerSecond * g.rest.value
-		g.jam.value -= excessDecayPerSecond * max(0, g.jam.value-1)
+		g.reportedInFlight.value -= excessDecayPerSecond * g.reportedInFlight.value
+		g.queueingRatio.value -= excessDecayPerSecond * max(0, g.queueingRatio.value-1)
 	}
-	b.rate.add(b.taken, rateSmoothing)
-	b.taken, b.came, b.passed = 0, b.came*recentCountRetentionPerSecond, b.passed*recentCountRetentionPerSecond
-	b.settlePaces()
-	b.admit.refill(float64(b.place.GatewayCount))
+	b.arrivalRate.add(b.arrivalsThisSecond, rateSmoothing)
+	b.arrivalsThisSecond, b.recentArrivals, b.recentAdmitted = 0, b.recentArrivals*recentCountRetentionPerSecond, b.recentAdmitted*recentCountRetentionPerSecond
+	b.normalizeServiceTimeRatios()
+	b.admission.refill(float64(b.topology.GatewayCount))
 	b.logShed()
 }
 
 // subsetSize is how many hosts of a group a draw is among: few where connections cost or nothing tells of hosts.
 func (b *Balancer) subsetSize() int {
-	few := max(either(b.blind(), minHostSubset, 1), int(math.Ceil(max(b.rate.value, b.taken)/txPerSecondPerSubsetHost)))
-	return either(b.price.OpenConnections || b.blind(), few, len(b.table.ready))
+	few := max(ternary(b.hasNoLoadInfo(), minHostSubset, 1), int(math.Ceil(max(b.arrivalRate.value, b.arrivalsThisSecond)/txPerSecondPerSubsetHost)))
+	return ternary(b.costModel.OpenConnections || b.hasNoLoadInfo(), few, len(b.hosts.ready))
 }
 
 // remotePickWorthwhile tells whether a request may wait for another gateway's draw, by what such asks took of late.
 func (b *Balancer) remotePickWorthwhile(t *tx) bool {
-	return b.askTime.value <= maxRemotePickGoalFraction*float64(t.prof.ServiceGoal)
+	return b.remotePickLatency.value <= maxRemotePickGoalFraction*float64(t.profileConfig.ServiceGoal)
 }
 
 // randomlyElected lets by chance do what each of a few gateways may do: many together then do no more than a few would.
 func (b *Balancer) randomlyElected() bool {
-	return b.chance.draw()*float64(b.place.GatewayCount) < maxIndependentGateways
+	return b.random.uniform()*float64(b.topology.GatewayCount) < maxIndependentGateways
 }
 
 // The host table: the list, drains and the cold budget.
 
 func (b *Balancer) HostListReceived(now time.Duration, kind ListKind, hosts []Host) {
-	b.turn(now)
+	b.beginCall(now)
 	if kind == ListFailed {
-		b.table.lost++
-		b.out.Log(fmt.Sprintf("list lost, %d times in a row", b.table.lost))
-		b.at(now+b.spread(requestRetryDelay<<min(b.table.lost-1, 2)), b.out.RequestHostList)
+		b.hosts.consecutiveListFailures++
+		b.executor.Log(fmt.Sprintf("list lost, %d times in a row", b.hosts.consecutiveListFailures))
+		b.schedule(now+b.randomListDelay(requestRetryDelay<<min(b.hosts.consecutiveListFailures-1, 2)), b.executor.RequestHostList)
 		return
 	}
-	for _, host := range b.table.merge(kind, hosts, b.isGone) { // without a record; what is out still counts
-		host.health = health{weight: 1, felt: 1, pace: average{1, priorServiceTimeRatioSamples}, by: make([]breaker, len(b.profiles))}
+	for _, host := range b.hosts.merge(kind, hosts, b.isGone) { // without a record; what is out still counts
+		host.health = health{weight: 1, latencyRatio: 1, serviceTimeRatio: movingAverage{1, priorServiceTimeRatioSamples}, profileBreakers: make([]breaker, len(b.profiles))}
 	}
 	for _, entry := range hosts {
-		b.close(entry)
+		b.closeIdleIfNotReady(entry)
 	}
-	if b.sized() {
+	if b.usesLiveCapacity() {
 		b.spreadByLiveCapacity(hosts)
 	}
 }
@@ -201,7 +201,7 @@
 // isGone tells whether one that a list calls gone, or leaves out, is. Where only drains bind, lists prove
 // nothing of what runs: a host that was ready stays until own hops open its breaker.
 func (b *Balancer) isGone(h *host) bool {
-	return !b.drains.AllowGoneHosts || h.State != HostReady || h.whole.open
+	return !b.drainRule.AllowGoneHosts || h.State != HostReady || h.hostBreaker.open
 }
 
 // withinColdBudget keeps an even share of a cold host's budget, and what is over whole hops by a lot for each window:
@@ -210,21 +210,21 @@
 	if !b.isCold(h) {
 		return true
 	}
-	age := max(0, b.now-h.StartedAt-b.cold.StartTimeTolerance)
-	capacityFraction := b.cold.InitialCapacityFraction + (1-b.cold.InitialCapacityFraction)*float64(age)/float64(b.cold.WarmUpDuration)
-	serviceTimeRatio := either(h.model.pace.n == 0, 1, max(h.model.pace.value, minServiceTimeRatio)) // of a kind never seen: the usual
-	serviceTime := either(b.byZone(), b.mean, b.work[0]).value
-	hopsPerNs := max(1, h.model.places.value) / (serviceTime * serviceTimeRatio)
-	observedHopsPerNs := coldObservedRateFraction * h.model.rate.value * float64(b.place.GatewayCount) / float64(time.Second)
-	hopsPerNs = either(b.byZone(), max(hopsPerNs, observedHopsPerNs), hopsPerNs) // warm ones show what they can do at the least
-	budgetFraction := either(b.now < b.cold.PredecessorActiveUntil, 1-ownColdBudgetFraction, ownColdBudgetFraction) / float64(b.place.GatewayCount)
-	budget := capacityFraction * b.cold.OverloadMultiple * hopsPerNs * float64(b.cold.OverloadDuration)
-	hopLimit, sent := budgetFraction*budget, h.sentSince(b.now-b.cold.OverloadDuration)
-	if !b.byZone() && budget >= coldHopBudgetDivisor { // of so many: as often as it is warm, of what a warm one would get
-		return sent < max(1, int(hopLimit)) && (hopLimit >= 1 || b.chance.draw() < capacityFraction)
+	age := max(0, b.now-h.StartedAt-b.coldRule.StartTimeTolerance)
+	capacityFraction := b.coldRule.InitialCapacityFraction + (1-b.coldRule.InitialCapacityFraction)*float64(age)/float64(b.coldRule.WarmUpDuration)
+	serviceTimeRatio := ternary(h.kindStats.serviceTimeRatio.samples == 0, 1, max(h.kindStats.serviceTimeRatio.value, minServiceTimeRatio)) // of a kind never seen: the usual
+	serviceTime := ternary(b.judgesByZone(), b.meanServiceTime, b.serviceTime[0]).value
+	hopsPerNs := max(1, h.kindStats.slots.value) / (serviceTime * serviceTimeRatio)
+	observedHopsPerNs := coldObservedRateFraction * h.kindStats.answersPerSecond.value * float64(b.topology.GatewayCount) / float64(time.Second)
+	hopsPerNs = ternary(b.judgesByZone(), max(hopsPerNs, observedHopsPerNs), hopsPerNs) // warm ones show what they can do at the least
+	budgetFraction := ternary(b.now < b.coldRule.PredecessorActiveUntil, 1-ownColdBudgetFraction, ownColdBudgetFraction) / float64(b.topology.GatewayCount)
+	budget := capacityFraction * b.coldRule.OverloadMultiple * hopsPerNs * float64(b.coldRule.OverloadDuration)
+	hopLimit, sent := budgetFraction*budget, h.coldHopsSince(b.now-b.coldRule.OverloadDuration)
+	if !b.judgesByZone() && budget >= coldHopBudgetDivisor { // of so many: as often as it is warm, of what a warm one would get
+		return sent < max(1, int(hopLimit)) && (hopLimit >= 1 || b.random.uniform() < capacityFraction)
 	}
-	perWindow := chance{b.chance.seed ^ uint32(h.ID), uint32(b.now / b.cold.OverloadDuration)}
-	return (!b.byZone() || b.work[profile].value*coldHopBudgetDivisor <= budget*serviceTime) && sent < int(hopLimit+perWindow.draw())
+	perWindow := randomSource{b.random.seed ^ uint32(h.ID), uint32(b.now / b.coldRule.OverloadDuration)}
+	return (!b.judgesByZone() || b.serviceTime[profile].value*coldHopBudgetDivisor <= budget*serviceTime) && sent < int(hopLimit+perWindow.uniform())
 }
 
 // Health: breakers, latency and weight of a host.
@@ -234,19 +234,19 @@
 func (k *breaker) record(failed, overloaded bool, errorSample, errorLimit, errorFractionElsewhere float64, now time.Duration, jitter float64) bool {
 	wasOpen := k.open
 	switch {
-	case !failed && wasOpen && !k.trying:
+	case !failed && wasOpen && !k.onTrial:
 	case !failed:
-		k.row, k.open, k.trying, k.cool, k.since = 0, false, false, 0, now
-		k.fails, k.share = k.fails*(1-failureFractionSmoothing), k.share*(1-failureFractionSmoothing)
+		k.consecutiveFailures, k.open, k.onTrial, k.cooldown, k.streakSince = 0, false, false, 0, now
+		k.failureFraction, k.errorFraction = k.failureFraction*(1-failureFractionSmoothing), k.errorFraction*(1-failureFractionSmoothing)
 	default:
-		k.row, k.since = min(k.row+1, math.MaxUint8-1), either(k.row == 0, now, k.since)
-		k.fails += failureFractionSmoothing * (1 - k.fails)
-		k.share += errorSample * failureFractionSmoothing * (1 - k.share)
-		if wasOpen && k.trying || !wasOpen && (k.row >= either[uint8](overloaded, consecutiveOverloadsToOpen, consecutiveFailuresToOpen) &&
-			math.Pow(errorFractionElsewhere, float64(k.row)) < maxFailureStreakProbability || k.share >= errorLimit) {
-			k.open, k.trying, k.overload = true, false, overloaded || wasOpen && k.overload
-			k.cool = min(max(2*k.cool, either(overloaded, maxCooldown, initialCooldown)), maxCooldown)
-			k.until = now + time.Duration((0.75+jitter/2)*float64(k.cool)) // not in step with other gateways
+		k.consecutiveFailures, k.streakSince = min(k.consecutiveFailures+1, math.MaxUint8-1), ternary(k.consecutiveFailures == 0, now, k.streakSince)
+		k.failureFraction += failureFractionSmoothing * (1 - k.failureFraction)
+		k.errorFraction += errorSample * failureFractionSmoothing * (1 - k.errorFraction)
+		if wasOpen && k.onTrial || !wasOpen && (k.consecutiveFailures >= ternary[uint8](overloaded, consecutiveOverloadsToOpen, consecutiveFailuresToOpen) &&
+			math.Pow(errorFractionElsewhere, float64(k.consecutiveFailures)) < maxFailureStreakProbability || k.errorFraction >= errorLimit) {
+			k.open, k.onTrial, k.openedByOverload = true, false, overloaded || wasOpen && k.openedByOverload
+			k.cooldown = min(max(2*k.cooldown, ternary(overloaded, maxCooldown, initialCooldown)), maxCooldown)
+			k.nextTrialAt = now + time.Duration((0.75+jitter/2)*float64(k.cooldown)) // not in step with other gateways
 		}
 	}
 	return k.open != wasOpen
@@ -254,64 +254,64 @@
 
 // unresponsive tells whether a host answers nothing for far longer than its hops explain; it is then passed over.
 func (b *Balancer) unresponsive(h *host) bool {
-	inFlight := either(b.relaying && b.draws(h.group), h.own+h.others, h.own) // who draws is told of all answers
-	return inFlight > 0 && h.lat.n > 0 && float64(b.now-h.waiting) > h.lat.value*(1+unresponsiveLatencyMultiple/float64(inFlight))
+	inFlight := ternary(b.coordinating && b.picksFor(h.group), h.ownInFlight+h.peersInFlight, h.ownInFlight) // who draws is told of all answers
+	return inFlight > 0 && h.latency.samples > 0 && float64(b.now-h.unansweredSince) > h.latency.value*(1+unresponsiveLatencyMultiple/float64(inFlight))
 }
 
 // recordOutcome takes what the end of a hop says of its host.
 func (b *Balancer) recordOutcome(h *host, hostInFlight float64, profile int, result HopResult) {
-	b.heard(h, result.Load)
-	slowdown, serviceTime, took := h.slowdown(hostInFlight), &b.work[profile], float64(result.Latency)
+	b.recordLoadReport(h, result.Load)
+	slowdown, serviceTime, took := h.slowdown(hostInFlight), &b.serviceTime[profile], float64(result.Latency)
 	late, failed := result.Outcome == HopTimedOut || result.Outcome == HopCalledOff, result.Outcome != HopCommitted && result.Outcome != HopNotSent
-	overdue := took > overdueServiceTimeMultiple*min(serviceTime.value, b.free[profile])*slowdown
+	overdue := took > overdueServiceTimeMultiple*min(serviceTime.value, b.minServiceTime[profile])*slowdown
 	// In a jam hops time out everywhere: only one far over a usual host's time speaks of a hang.
-	failed = either(late, either(b.probesOnly(), overdue, took > overdueServiceTimeMultiple*serviceTime.value*slowdown), failed)
-	errorSample, profileOnly := either(failed && !late, 1.0, 0), failed && b.onlyProfileFails(h, profile)
-	if b.byZone() && !profileOnly {
-		hostHangs := late && failed && usualErrorMultiple*b.table.failsBeside(h, profile, b.now-congestionDecayTime) < errorFractionToOpen
-		b.feel(h, profile, result, hostHangs)
+	failed = ternary(late, ternary(b.probesOnly(), overdue, took > overdueServiceTimeMultiple*serviceTime.value*slowdown), failed)
+	errorSample, profileOnly := ternary(failed && !late, 1.0, 0), failed && b.onlyProfileFails(h, profile)
+	if b.judgesByZone() && !profileOnly {
+		hostHangs := late && failed && usualErrorMultiple*b.hosts.referenceFailureFraction(h, profile, b.now-congestionDecayTime) < errorFractionToOpen
+		b.recordLatencyRatio(h, profile, result, hostHangs)
 	}
 	switch {
 	case result.Outcome == HopCommitted:
-		b.heardOf[profile], h.paced, h.waiting, h.fresh = b.now, b.now, b.now, true
-		h.lat.add(took, shortTermSmoothing)
-		if slowdown == 1 || h.model.knee() > 0 || !b.slotsUnknown(h) {
+		b.lastAnsweredAt[profile], h.serviceTimeRatioAt, h.unansweredSince, h.answeredThisSecond = b.now, b.now, b.now, true
+		h.latency.add(took, shortTermSmoothing)
+		if slowdown == 1 || h.kindStats.concurrencyLimit() > 0 || !b.slotsUnknown(h) {
 			maxTime := min(overdueServiceTimeMultiple*serviceTime.value, float64(b.profiles[profile].ServiceGoal)) // a part that waits must not bar all
-			uncrowded := took / slowdown / h.pace.value
-			uncrowded = either(b.from.PeersShareInFlight && serviceTime.n*mediumTermSmoothing >= 1, min(uncrowded, maxTime), uncrowded)
+			uncrowded := took / slowdown / h.serviceTimeRatio.value
+			uncrowded = ternary(b.sources.PeersShareInFlight && serviceTime.samples*mediumTermSmoothing >= 1, min(uncrowded, maxTime), uncrowded)
 			serviceTime.add(uncrowded, mediumTermSmoothing)
-			b.slow[profile].add(uncrowded, longTermSmoothing)
-			h.group.jam.add(took/slowdown/b.free[profile], queueingRatioSmoothing)
-			h.learnPace(took / slowdown / serviceTime.value)
+			b.longTermServiceTime[profile].add(uncrowded, longTermSmoothing)
+			h.group.queueingRatio.add(took/slowdown/b.minServiceTime[profile], queueingRatioSmoothing)
+			h.recordServiceTimeRatio(took / slowdown / serviceTime.value)
 		}
 	case late && !profileOnly:
-		h.paced, h.bad = b.now, h.bad || failed || result.Outcome == HopTimedOut
-		h.lat.add(max(took, h.lat.value), shortTermSmoothing)
+		h.serviceTimeRatioAt, h.failedThisSecond = b.now, h.failedThisSecond || failed || result.Outcome == HopTimedOut
+		h.latency.add(max(took, h.latency.value), shortTermSmoothing)
 		// One answer lost, where that is far over the work, must not make its host look ten times as slow.
-		h.learnPace(min(max(took/slowdown/serviceTime.value, h.pace.value), overdueServiceTimeMultiple*h.pace.value))
+		h.recordServiceTimeRatio(min(max(took/slowdown/serviceTime.value, h.serviceTimeRatio.value), overdueServiceTimeMultiple*h.serviceTimeRatio.value))
 	case failed && !profileOnly:
-		h.waiting, h.bad = b.now, true
+		h.unansweredSince, h.failedThisSecond = b.now, true
 	}
 	overloaded := b.probesOnly() && failed && !profileOnly && (late || result.Outcome == HopHostFull)
-	h.model.overloaded = h.model.overloaded || overloaded
+	h.kindStats.overloaded = h.kindStats.overloaded || overloaded
 	if result.Outcome != HopCommitted && !failed { // proves nothing of the host: a trial must be had again
-		h.whole.trying, h.by[profile].trying = false, false
+		h.hostBreaker.onTrial, h.profileBreakers[profile].onTrial = false, false
 		return
 	}
-	b.errs.add(errorSample, mediumTermSmoothing)
+	b.errorFraction.add(errorSample, mediumTermSmoothing)
 	usualErrors, errorsElsewhere := 0.0, 0.0
 	connectionFailed := result.Outcome == HopNoConnection || result.Outcome == HopConnectionBroken // to a blind one the others may be of one zone
-	if failed && !(connectionFailed && b.blind()) {
-		errorsElsewhere = b.table.errsElsewhere(h, b.now-observationTTL)
-		usualErrors = b.errs.value + min(usualErrorMultiple*errorsElsewhere, maxUsualErrorFraction)
+	if failed && !(connectionFailed && b.hasNoLoadInfo()) {
+		errorsElsewhere = b.hosts.errorFractionElsewhere(h, b.now-observationTTL)
+		usualErrors = b.errorFraction.value + min(usualErrorMultiple*errorsElsewhere, maxUsualErrorFraction)
 	}
 	scopes := [...]string{"all profiles", b.profiles[profile].Name}
 	for i, scopeBreaker := range h.breakers(profile) {
 		if i == 0 && (result.Outcome == HopHostFull || profileOnly) {
-			scopeBreaker.trying = false // a full host turns all profiles away: one turned away alone is not its queue
-		} else if scopeBreaker.record(failed || overdue && scopeBreaker.open && scopeBreaker.overload, overloaded, errorSample,
-			either(profileOnly, 0, errorFractionToOpen+usualErrors), either(result.Outcome == HopError, errorsElsewhere, 0), b.now, b.chance.draw()) {
-			b.out.Log(fmt.Sprintf("host %d, %s: breaker open %t", h.ID, scopes[i], scopeBreaker.open))
+			scopeBreaker.onTrial = false // a full host turns all profiles away: one turned away alone is not its queue
+		} else if scopeBreaker.record(failed || overdue && scopeBreaker.open && scopeBreaker.openedByOverload, overloaded, errorSample,
+			ternary(profileOnly, 0, errorFractionToOpen+usualErrors), ternary(result.Outcome == HopError, errorsElsewhere, 0), b.now, b.random.uniform()) {
+			b.executor.Log(fmt.Sprintf("host %d, %s: breaker open %t", h.ID, scopes[i], scopeBreaker.open))
 		}
 	}
 }
@@ -319,22 +319,22 @@
 // onlyProfileFails tells whether one more failure shows that a profile alone fails at a host: others are answered
 // there meanwhile, and it at other hosts. It says nothing of the host then, and that profile is barred.
 func (b *Balancer) onlyProfileFails(h *host, profile int) bool {
-	failing, elsewhere := &h.by[profile], b.table.failsBeside(h, profile, h.by[profile].since)
-	return float64(failing.fails+failureFractionSmoothing*(1-failing.fails)) >= errorFractionToOpen+b.errs.value+usualErrorMultiple*elsewhere
+	failing, elsewhere := &h.profileBreakers[profile], b.hosts.referenceFailureFraction(h, profile, h.profileBreakers[profile].streakSince)
+	return float64(failing.failureFraction+failureFractionSmoothing*(1-failing.failureFraction)) >= errorFractionToOpen+b.errorFraction.value+usualErrorMultiple*elsewhere
 }
 
 // boundedServiceTimeRatio is the pace, bounded: a burst that is over before its last hop ends makes a host look fast.
 func (h *host) boundedServiceTimeRatio() float64 {
-	return max(h.pace.value, minServiceTimeRatioToKind*h.model.pace.value)
+	return max(h.serviceTimeRatio.value, minServiceTimeRatioToKind*h.kindStats.serviceTimeRatio.value)
 }
 
 // adjustWeights is the decision record's change of weights in a group. Their mean stays 1, where new hosts start.
 func adjustWeights(hosts []*host) {
-	median, sum := medianLat(hosts), 0.0
+	median, sum := medianLatency(hosts), 0.0
 	for _, h := range hosts {
-		reduce := h.bad || h.fresh && h.lat.value > slowLatencyMultiple*median
-		h.weight = either(reduce, slowHostWeightFactor*h.weight, h.weight+weightIncrement)
-		h.bad, h.fresh = false, false
+		reduce := h.failedThisSecond || h.answeredThisSecond && h.latency.value > slowLatencyMultiple*median
+		h.weight = ternary(reduce, slowHostWeightFactor*h.weight, h.weight+weightIncrement)
+		h.failedThisSecond, h.answeredThisSecond = false, false
 		sum += h.weight
 	}
 	for _, h := range hosts {
@@ -346,58 +346,58 @@
 
 // slowdown is how much longer a hop takes among so many; without reports slots are met halfway.
 func (h *host) slowdown(hops float64) float64 {
-	if limit := h.model.knee(); limit > 0 {
+	if limit := h.kindStats.concurrencyLimit(); limit > 0 {
 		return math.Cbrt(1 + math.Pow(hops/limit, 3)) // its cores are in use ever more evenly
 	}
-	slots := h.model.places.value
-	return either(slots == 0, (hops+1)/2, max(1, hops/max(1, slots)))
+	slots := h.kindStats.slots.value
+	return ternary(slots == 0, (hops+1)/2, max(1, hops/max(1, slots)))
 }
 
 // slotsUnknown tells whether a host's slots are a guess: by it a start's transactions had been turned away.
 func (b *Balancer) slotsUnknown(h *host) bool {
-	return b.from.ProbesReportLoad && h.model.places.n == 0 && !h.model.overloaded
+	return b.sources.ProbesReportLoad && h.kindStats.slots.samples == 0 && !h.kindStats.overloaded
 }
 
 func (b *Balancer) expectedTime(h *host, profile int) float64 {
-	return b.work[profile].value * h.boundedServiceTimeRatio() * h.slowdown(h.out()+1)
+	return b.serviceTime[profile].value * h.boundedServiceTimeRatio() * h.slowdown(h.inFlight()+1)
 }
 
 // randomlyOverRamp tells by chance: where all gateways turned at one figure hosts would be empty and buried by turns.
 func (b *Balancer) randomlyOverRamp(value, rampStart, rampEnd float64) bool {
-	return value >= rampStart && rampStart+b.chance.draw()*(rampEnd-rampStart) < value
+	return value >= rampStart && rampStart+b.random.uniform()*(rampEnd-rampStart) < value
 }
 
 // atCapacity tells by chance whether a host is full, by what it holds, or its zone jammed.
 func (b *Balancer) atCapacity(h *host) bool {
-	limit := h.model.knee() // 0 for a kind that never told, which has to be met to tell
-	return limit > 0 && b.randomlyOverRamp((h.out()+1)/limit, relativeLoadRampStart, relativeLoadRampEnd) || b.randomlyOverRamp(h.group.jam.value, queueingRatioRampStart, queueingRatioRampEnd)
+	limit := h.kindStats.concurrencyLimit() // 0 for a kind that never told, which has to be met to tell
+	return limit > 0 && b.randomlyOverRamp((h.inFlight()+1)/limit, relativeLoadRampStart, relativeLoadRampEnd) || b.randomlyOverRamp(h.group.queueingRatio.value, queueingRatioRampStart, queueingRatioRampEnd)
 }
 
 // chooseHost takes the own group unless that is near full, else the one that promises most, the more so as a
 // crossing is dear. If every breaker is open, any allowed host will do.
 func (b *Balancer) chooseHost(t *tx) (pick *host, expected float64) {
-	if b.byZone() {
+	if b.judgesByZone() {
 		return b.chooseByZone(t), 0
 	}
-	crossZonePenalty := b.price.CrossZoneHop * b.revenue.value / t.prof.Revenue // a crossing, against what this one earns
-	nearFullTime := min(nearFullGoalFraction+2*crossZonePenalty, maxAdmittedGoalFraction) * float64(t.prof.ServiceGoal)
+	crossZonePenalty := b.costModel.CrossZoneHop * b.meanRevenue.value / t.profileConfig.Revenue // a crossing, against what this one earns
+	nearFullTime := min(nearFullGoalFraction+2*crossZonePenalty, maxAdmittedGoalFraction) * float64(t.profileConfig.ServiceGoal)
 	for _, allowBarred := range []bool{false, true} {
-		maxTime, leavesHome := b.admissionThreshold(t.profile), b.randomlyOverRamp(b.load(t.home), relativeLoadRampStart, relativeLoadRampEnd)
-		for _, g := range t.home.order {
-			if g != t.home && leavesHome && b.load(g) > b.load(t.home) {
+		maxTime, leavesHome := b.admissionThreshold(t.profile), b.randomlyOverRamp(b.relativeLoad(t.homeGroup), relativeLoadRampStart, relativeLoadRampEnd)
+		for _, g := range t.homeGroup.searchOrder {
+			if g != t.homeGroup && leavesHome && b.relativeLoad(g) > b.relativeLoad(t.homeGroup) {
 				continue
 			}
-			h, hostTime := b.pickFromGroup(g, t, allowBarred, min(nearFullGoalFraction*float64(t.prof.ServiceGoal), maxTime))
-			if h == nil || g != t.home && hostTime > maxTime || b.load(g) >= 0 && b.atCapacity(h) {
+			h, hostTime := b.pickFromGroup(g, t, allowBarred, min(nearFullGoalFraction*float64(t.profileConfig.ServiceGoal), maxTime))
+			if h == nil || g != t.homeGroup && hostTime > maxTime || b.relativeLoad(g) >= 0 && b.atCapacity(h) {
 				continue
 			}
 			pick, expected = h, hostTime
-			if g != t.home {
+			if g != t.homeGroup {
 				maxTime = hostTime
 			} else if leavesHome {
 				maxTime = math.Inf(1)
-			} else if !allowBarred && !h.closed(t.profile) || // on trial
-				h.model.knee() > 0 || hostTime <= maxTime && (h.slowdown(h.out()+1) <= uncrowdedHopsPerSlot || hostTime <= nearFullTime) {
+			} else if !allowBarred && !h.breakersClosed(t.profile) || // on trial
+				h.kindStats.concurrencyLimit() > 0 || hostTime <= maxTime && (h.slowdown(h.inFlight()+1) <= uncrowdedHopsPerSlot || hostTime <= nearFullTime) {
 				return h, hostTime
 			} else {
 				maxTime = (1 - crossZonePenalty) * min(maxTime, hostTime)
@@ -411,40 +411,40 @@
 }
 
 // pickFromGroup picks from a group by weight and redraws once; over near it takes the host that promises most.
-func (b *Balancer) pickFromGroup(g *group, t *tx, allowBarred bool, nearFullTime float64) (pick *host, expectedTime float64) {
-	candidates := make([]lot, 0, min(b.subsetSize()+t.reRun(), len(g.hosts)))
-	var meanTime average
-	allHopsKnown := b.place.GatewayCount <= maxIndependentGateways || b.relaying // all that is out is known
-	for _, h := range g.hosts[:min(b.subsetSize()+t.reRun(), len(g.hosts))] {
+func (b *Balancer) pickFromGroup(g *zoneGroup, t *tx, allowBarred bool, nearFullTime float64) (pick *host, expectedTime float64) {
+	candidates := make([]candidate, 0, min(b.subsetSize()+t.extraCandidates(), len(g.hosts)))
+	var meanTime movingAverage
+	allHopsKnown := b.topology.GatewayCount <= maxIndependentGateways || b.coordinating // all that is out is known
+	for _, h := range g.hosts[:min(b.subsetSize()+t.extraCandidates(), len(g.hosts))] {
 		if !t.mayRunOn(h, b.now) || !b.withinColdBudget(h, t.profile) ||
-			either(allowBarred, h.overloaded(t.profile), b.unresponsive(h)) || b.connectionBlocked(h) ||
-			b.relaying && !b.draws(g) && b.now-h.heldBy[b.drawer(g)].at > remotePickTimeout {
+			ternary(allowBarred, h.openedByOverload(t.profile), b.unresponsive(h)) || b.connectionBlocked(h) ||
+			b.coordinating && !b.picksFor(g) && b.now-h.inFlightByPeer[b.coordinatorOf(g)].receivedAt > remotePickTimeout {
 			continue
 		}
 		hostTime := b.expectedTime(h, t.profile)
-		if !allowBarred && !h.closed(t.profile) {
+		if !allowBarred && !h.breakersClosed(t.profile) {
 			if b.passesBreakers(h, t) {
 				return h, hostTime
 			}
 			continue
 		}
-		hostTime *= either(h.workAt > 0 && b.now-h.workAt < estimatedInFlightTTL, max(ignoredEstimatedInFlight, h.work), 1)
+		hostTime *= ternary(h.estimatedInFlightAt > 0 && b.now-h.estimatedInFlightAt < estimatedInFlightTTL, max(ignoredEstimatedInFlight, h.estimatedInFlight), 1)
 		meanTime.add(hostTime, 0)
 		// All gateways draw the same hosts for a key, as these remember it.
-		random := either(t.key != 0, &chance{t.key, uint32(h.ID)}, &b.chance)
-		candidates = append(candidates, lot{h, hostTime, math.Log(random.draw()) * h.boundedServiceTimeRatio() / h.weight})
+		random := ternary(t.affinityKey != 0, &randomSource{t.affinityKey, uint32(h.ID)}, &b.random)
+		candidates = append(candidates, candidate{h, hostTime, math.Log(random.uniform()) * h.boundedServiceTimeRatio() / h.weight})
 	}
-	first, second := twoLargest(candidates)
-	if second.host != nil && second.e < first.e && (first.e > slowLatencyMultiple*meanTime.value || !allHopsKnown && t.key == 0) {
+	first, second := twoBestCandidates(candidates)
+	if second.host != nil && second.expectedTime < first.expectedTime && (first.expectedTime > slowLatencyMultiple*meanTime.value || !allHopsKnown && t.affinityKey == 0) {
 		first = second
 	}
-	if allHopsKnown && first.host != nil && first.e > nearFullTime { // of many, all that take the best at once would bury it
-		first = slices.MinFunc(candidates, func(x, y lot) int { return cmp.Compare(x.e, y.e) })
+	if allHopsKnown && first.host != nil && first.expectedTime > nearFullTime { // of many, all that take the best at once would bury it
+		first = slices.MinFunc(candidates, func(x, y candidate) int { return cmp.Compare(x.expectedTime, y.expectedTime) })
 	}
-	if first.host != nil && first.host.workAt > 0 {
-		first.e = b.expectedTime(first.host, t.profile)
+	if first.host != nil && first.host.estimatedInFlightAt > 0 {
+		first.expectedTime = b.expectedTime(first.host, t.profile)
 	}
-	return first.host, first.e
+	return first.host, first.expectedTime
 }
 
 // Live sizes. One of many gateways that do not tell each other learns of hosts by the list, which says to all
@@ -454,48 +454,48 @@
 // until the next word by what evens out the difference with what comes in a second. New kinds begin with the
 // root of their size: lists say which is the faster, and too much of by how much.
 func (b *Balancer) spreadByLiveCapacity(listed []Host) {
-	overall := b.table.holds(listed)
-	for _, stats := range b.table.models {
-		stats.weight = either(stats.weight == 0, math.Sqrt(stats.size), stats.weight)
-		exponent := kindWeightStep * (overall.value - stats.rest.value) / (overall.value + spareInFlightPerCore)
+	overall := b.hosts.updateInFlightPerCore(listed)
+	for _, stats := range b.hosts.kinds {
+		stats.weight = ternary(stats.weight == 0, math.Sqrt(stats.maxCapacityHint), stats.weight)
+		exponent := kindWeightStep * (overall.value - stats.inFlightPerCore.value) / (overall.value + spareInFlightPerCore)
 		stats.weight = min(max(stats.weight*math.Exp(exponent), weightIncrement), maxWeight)
 	}
-	arrivalsPerHost := max(1, b.rate.value*float64(b.place.GatewayCount)/max(1, overall.n))
-	for _, g := range b.table.groups {
-		g.room, g.meets = 0, 0
+	arrivalsPerHost := max(1, b.arrivalRate.value*float64(b.topology.GatewayCount)/max(1, overall.samples))
+	for _, g := range b.hosts.groups {
+		g.effectiveHosts, g.inFlightAtTargets = 0, 0
 		for _, h := range g.hosts {
-			h.lean = min(max(0, 1+2*(overall.value-h.rest)/arrivalsPerHost), 2)
-			g.room += h.lean
-			g.meets += h.lean * h.rest
+			h.spreadFactor = min(max(0, 1+2*(overall.value-h.reportedInFlight)/arrivalsPerHost), 2)
+			g.effectiveHosts += h.spreadFactor
+			g.inFlightAtTargets += h.spreadFactor * h.reportedInFlight
 		}
-		g.meets /= max(1, g.room)
+		g.inFlightAtTargets /= max(1, g.effectiveHosts)
 	}
-	home, minInFlight := b.table.own(), max(overall.value, minSpilloverInFlightPerCore)
-	home.leave = min(max(0, home.leave+spilloverStepPerList*(home.rest.value/minInFlight-1)), maxDivertedFraction)
+	home, minInFlight := b.hosts.ownGroup(), max(overall.value, minSpilloverInFlightPerCore)
+	home.spilloverFraction = min(max(0, home.spilloverFraction+spilloverStepPerList*(home.reportedInFlight.value/minInFlight-1)), maxDivertedFraction)
 }
 
 // relativeCapacity is a host's share of what the largest can do, where the list tells it.
 func (b *Balancer) relativeCapacity(h *host) float64 {
-	return either(b.from.CapacityHints == NominalCapacity && h.CapacityHint > 0, h.CapacityHint/b.table.largest, 1)
+	return ternary(b.sources.CapacityHints == NominalCapacity && h.CapacityHint > 0, h.CapacityHint/b.hosts.maxCapacityHint, 1)
 }
 
 // chooseByZone takes the own zone but for the part that leaves it: that goes where there is room.
 func (b *Balancer) chooseByZone(t *tx) *host {
-	for _, h := range b.table.young { // who has a lot uses it, or they would stay cold
+	for _, h := range b.hosts.startKnown { // who has a lot uses it, or they would stay cold
 		if b.isCold(h) && t.mayRunOn(h, b.now) && b.withinColdBudget(h, t.profile) && !b.unresponsive(h) && b.passesBreakers(h, t) {
 			return h
 		}
 	}
-	first, totalHosts, pick := b.firstGroup(t), 0.0, either(b.blind(), (*Balancer).pickFromSubset, (*Balancer).pickBySampling)
-	if b.chance.draw() < t.home.leave {
-		for _, g := range t.home.order[1:] {
-			if totalHosts += g.room; b.chance.draw()*totalHosts < g.room {
+	first, totalHosts, pick := b.firstGroup(t), 0.0, ternary(b.hasNoLoadInfo(), (*Balancer).pickFromSubset, (*Balancer).pickBySampling)
+	if b.random.uniform() < t.homeGroup.spilloverFraction {
+		for _, g := range t.homeGroup.searchOrder[1:] {
+			if totalHosts += g.effectiveHosts; b.random.uniform()*totalHosts < g.effectiveHosts {
 				first = g
 			}
 		}
 	}
 	for _, allowBarred := range []bool{false, true} {
-		for _, g := range append([]*group{first}, t.home.order...) {
+		for _, g := range append([]*zoneGroup{first}, t.homeGroup.searchOrder...) {
 			if h := pick(b, g, t, allowBarred); h != nil {
 				return h
 			}
@@ -505,27 +505,27 @@
 }
 
 // firstGroup is the own one, blind left by as large a part as breakers bar, if these are most hosts kept to.
-func (b *Balancer) firstGroup(t *tx) *group {
-	var barredFraction average
-	for _, h := range t.home.hosts[:min(b.subsetSize(), len(t.home.hosts))] {
-		barredFraction.add(either(h.whole.open, 1.0, 0), 0)
+func (b *Balancer) firstGroup(t *tx) *zoneGroup {
+	var barredFraction movingAverage
+	for _, h := range t.homeGroup.hosts[:min(b.subsetSize(), len(t.homeGroup.hosts))] {
+		barredFraction.add(ternary(h.hostBreaker.open, 1.0, 0), 0)
 	}
-	if !b.blind() || barredFraction.value <= minBarredFractionToLeaveZone || len(t.home.order) == 1 || b.chance.draw() >= barredFraction.value {
-		return t.home
+	if !b.hasNoLoadInfo() || barredFraction.value <= minBarredFractionToLeaveZone || len(t.homeGroup.searchOrder) == 1 || b.random.uniform() >= barredFraction.value {
+		return t.homeGroup
 	}
-	byCongestion := func(x, y *group) int { return cmp.Compare(b.jam(x, t.profile), b.jam(y, t.profile)) }
-	return slices.MinFunc(t.home.order[1:], byCongestion)
+	byCongestion := func(x, y *zoneGroup) int { return cmp.Compare(b.congestion(x, t.profile), b.congestion(y, t.profile)) }
+	return slices.MinFunc(t.homeGroup.searchOrder[1:], byCongestion)
 }
 
 // pickBySampling picks by weight, and looks at few hosts only, however many there are.
-func (b *Balancer) pickBySampling(g *group, t *tx, allowBarred bool) *host {
+func (b *Balancer) pickBySampling(g *zoneGroup, t *tx, allowBarred bool) *host {
 	count := len(g.hosts)
-	offset := b.chance.draw() * float64(count)
+	offset := b.random.uniform() * float64(count)
 	for i := 0; i < maxWeightedSamples+count && count > 0; i++ {
 		h := g.hosts[(i+int(offset))%count]
 		if i < maxWeightedSamples {
-			h = g.hosts[int(b.chance.draw()*float64(count))]
-			if b.chance.draw()*samplingWeightBound > b.pickWeight(h) {
+			h = g.hosts[int(b.random.uniform()*float64(count))]
+			if b.random.uniform()*samplingWeightBound > b.pickWeight(h) {
 				continue
 			}
 		}
@@ -537,17 +537,17 @@
 }
 
 // pickFromSubset draws by weight among the few that a blind gateway keeps to, for a key the same as others would.
-func (b *Balancer) pickFromSubset(g *group, t *tx, allowBarred bool) *host {
+func (b *Balancer) pickFromSubset(g *zoneGroup, t *tx, allowBarred bool) *host {
 	pick, bestScore := (*host)(nil), math.Inf(-1)
 	for _, h := range g.hosts[:min(b.subsetSize()+len(t.hops), len(g.hosts))] {
 		if !t.mayRunOn(h, b.now) || !b.withinColdBudget(h, t.profile) || !allowBarred && (b.unresponsive(h) || !b.passesBreakers(h, t)) {
 			continue
 		}
-		if !allowBarred && !h.closed(t.profile) { // on trial
+		if !allowBarred && !h.breakersClosed(t.profile) { // on trial
 			return h
 		}
-		random := either(t.key != 0, chance{t.key, uint32(h.ID)}, chance{b.chance.seed, b.chance.next()})
-		if score := math.Log(random.draw()) / b.pickWeight(h); score > bestScore {
+		random := ternary(t.affinityKey != 0, randomSource{t.affinityKey, uint32(h.ID)}, randomSource{b.random.seed, b.random.reserve()})
+		if score := math.Log(random.uniform()) / b.pickWeight(h); score > bestScore {
 			pick, bestScore = h, score
 		}
 	}
@@ -557,21 +557,21 @@
 // pickWeight is a host's in such a draw. Where nothing tells of hosts it goes by what own hops took there lately,
 // and whether one is out: of many gateways each meets a host so seldom that it should have ended.
 func (b *Balancer) pickWeight(h *host) float64 {
-	byLatency := samplingWeightBound * b.relativeCapacity(h) / math.Pow(max(1, b.feltAt(h)), latencyRatioWeightExponent)
-	return either(b.blind(), byLatency, h.lean*h.weight*h.model.weight) / (1 + ownInFlightWeightPenalty*float64(h.own))
+	byLatency := samplingWeightBound * b.relativeCapacity(h) / math.Pow(max(1, b.recentLatencyRatio(h)), latencyRatioWeightExponent)
+	return ternary(b.hasNoLoadInfo(), byLatency, h.spreadFactor*h.weight*h.kindStats.weight) / (1 + ownInFlightWeightPenalty*float64(h.ownInFlight))
 }
 
 // passesBreakers tells whether no breaker bars a host, or lets it be tried. A trial must not cost a transaction that
 // cannot run twice, unless its own profile is on trial, and then few of these.
 func (b *Balancer) passesBreakers(h *host, t *tx) bool {
-	if h.closed(t.profile) {
+	if h.breakersClosed(t.profile) {
 		return true
 	}
-	if h.dueBy(t.profile) > b.now || t.prof.Effect == NonIdempotent && h.whole.open || !b.randomlyElected() ||
-		t.prof.Effect == NonIdempotent && b.chance.draw() > nonIdempotentTrialFraction {
+	if h.trialDueAt(t.profile) > b.now || t.profileConfig.Effect == NonIdempotent && h.hostBreaker.open || !b.randomlyElected() ||
+		t.profileConfig.Effect == NonIdempotent && b.random.uniform() > nonIdempotentTrialFraction {
 		return false
 	}
-	h.try(t.profile, b.now+maxCooldown)
+	h.startTrial(t.profile, b.now+maxCooldown)
 	return true
 }
 
@@ -581,29 +581,31 @@
 // that earn more for the same work, unless these would be rolled back at a free host: all would be with them.
 func (b *Balancer) admissionThreshold(profile int) float64 {
 	// A lone one sees its own hops alone, and there are more at a host the more gateways a zone has.
-	ownHopsPerSlot := 1 + (maxHopsPerSlot-1)/math.Sqrt(max(1, float64(b.place.GatewayCount)/float64(len(b.table.groups))))
-	hopsPerSlot := either(b.lone(), ownHopsPerSlot, either(b.told(), maxHopsPerSlotWithReports, maxHopsPerSlot))
-	slowdownLimit := func(i int) float64 { return min(b.maxWorthwhileTime(i), hopsPerSlot*b.free[i]) / b.work[i].value } // times the work
+	ownHopsPerSlot := 1 + (maxHopsPerSlot-1)/math.Sqrt(max(1, float64(b.topology.GatewayCount)/float64(len(b.hosts.groups))))
+	hopsPerSlot := ternary(b.fewWithoutReports(), ownHopsPerSlot, ternary(b.hostsReportInFlight(), maxHopsPerSlotWithReports, maxHopsPerSlot))
+	slowdownLimit := func(i int) float64 {
+		return min(b.maxWorthwhileTime(i), hopsPerSlot*b.minServiceTime[i]) / b.serviceTime[i].value
+	} // times the work
 	limit := slowdownLimit(profile)
-	minRevenue := either(b.price.RevenueByWork, yieldRevenueMultipleByWork, yieldRevenueMultiple) * b.revenueForWork(profile)
+	minRevenue := ternary(b.costModel.RevenueByWork, yieldRevenueMultipleByWork, yieldRevenueMultiple) * b.revenueForWork(profile)
 	for i := range b.profiles {
 		if !b.profiles[i].Removed && b.revenueForWork(i) > minRevenue && slowdownLimit(i) > 1 {
 			limit = min(limit, yieldExpectedTimeFraction*slowdownLimit(i))
 		}
 	}
-	return limit * b.work[profile].value
+	return limit * b.serviceTime[profile].value
 }
 
 // maxWorthwhileTime is the time up to which an answer is worth its hop. Where unserved shares count by tenfold steps a
 // rollback is as bad as a late answer: none before the goal.
 func (b *Balancer) maxWorthwhileTime(profile int) float64 {
-	goalFraction := either(b.price.MissedGoals, maxAdmittedGoalFractionIfMissesCost, either(b.price.AvailabilityNines > 0, 1, maxAdmittedGoalFraction))
+	goalFraction := ternary(b.costModel.MissedGoals, maxAdmittedGoalFractionIfMissesCost, ternary(b.costModel.AvailabilityNines > 0, 1, maxAdmittedGoalFraction))
 	return (goalFraction + b.profiles[profile].LateRevenueFraction/2) * float64(b.profiles[profile].ServiceGoal)
 }
 
 // revenueForWork is what a profile earns for the same work.
 func (b *Balancer) revenueForWork(profile int) float64 {
-	return b.profiles[profile].Revenue / either(b.price.RevenueByWork, 1, b.work[profile].value)
+	return b.profiles[profile].Revenue / ternary(b.costModel.RevenueByWork, 1, b.serviceTime[profile].value)
 }
 
 // A transaction's path.
@@ -613,119 +615,119 @@
 	if slices.ContainsFunc(t.hops, func(used hop) bool { return used.host == h }) {
 		return false
 	}
-	ranOn := t.ran()
+	ranOn := t.possiblyRunHop()
 	switch {
-	case ranOn == nil || t.prof.Effect == Idempotent:
+	case ranOn == nil || t.profileConfig.Effect == Idempotent:
 		return true
-	case t.prof.Effect == NonIdempotent || now-ranOn.at >= t.prof.DedupWindow-serviceGoalMargin:
+	case t.profileConfig.Effect == NonIdempotent || now-ranOn.sentAt >= t.profileConfig.DedupWindow-serviceGoalMargin:
 		return false
 	}
-	return t.prof.DedupScope == DedupAllHosts || t.prof.DedupScope == DedupSameZone && h.Zone == ranOn.host.Zone ||
-		t.prof.DedupScope == DedupSameCell && h.Cell == ranOn.host.Cell
+	return t.profileConfig.DedupScope == DedupAllHosts || t.profileConfig.DedupScope == DedupSameZone && h.Zone == ranOn.host.Zone ||
+		t.profileConfig.DedupScope == DedupSameCell && h.Cell == ranOn.host.Cell
 }
 
 // isOutlier tells whether a tenant's hops miss their goals where the others' do not: they wait for something of
 // its own, and no host is judged by them. If they are much work instead, the others miss theirs soon.
-func (a *admission) isOutlier(t *tenant) bool {
-	others, samples := a.missedByOthers(t)
-	return min(samples, t.missed.n) >= consecutiveFailuresToOpen && t.missed.value > max(outlierMissedGoalFraction, outlierMissedGoalMultiple*others)
+func (a *tenantAdmission) isOutlier(t *tenant) bool {
+	others, samples := a.missedGoalsOfOthers(t)
+	return min(samples, t.missedGoalFraction.samples) >= consecutiveFailuresToOpen && t.missedGoalFraction.value > max(outlierMissedGoalFraction, outlierMissedGoalMultiple*others)
 }
 
 // suspectedOutlier tells it sooner, by two misses close together. Where gateways tell no one answer counts for much.
 func (b *Balancer) suspectedOutlier(t *tenant) bool {
-	others, samples := b.admit.missedByOthers(t)
-	return !b.from.PeersShareInFlight && samples >= consecutiveFailuresToOpen && t.missed.value > max(errorFractionToOpen, usualErrorMultiple*others)
+	others, samples := b.admission.missedGoalsOfOthers(t)
+	return !b.sources.PeersShareInFlight && samples >= consecutiveFailuresToOpen && t.missedGoalFraction.value > max(errorFractionToOpen, usualErrorMultiple*others)
 }
 
 func (b *Balancer) TransactionReceived(now time.Duration, id TxID, arrival Arrival) {
-	b.turn(now)
+	b.beginCall(now)
 	p := &b.profiles[arrival.ProfileIndex]
-	t := &tx{id: id, profile: arrival.ProfileIndex, prof: p, key: arrival.AffinityKey, home: b.table.own(),
-		stop: now + arrival.Budget + b.hops.BudgetTolerance, most: b.hops.MaxHops}
+	t := &tx{id: id, profile: arrival.ProfileIndex, profileConfig: p, affinityKey: arrival.AffinityKey, homeGroup: b.hosts.ownGroup(),
+		deadline: now + arrival.Budget + b.hopRule.BudgetTolerance, maxHops: b.hopRule.MaxHops}
 	// Stopped at its goal, an idempotent one only comes again: a late answer at least ends its client's tries.
 	if p.LateRevenueFraction == 0 && p.Effect != Idempotent {
-		t.stop = min(t.stop, now+p.ServiceGoal-serviceGoalMargin)
+		t.deadline = min(t.deadline, now+p.ServiceGoal-serviceGoalMargin)
 	}
-	b.taken, b.came = b.taken+1, b.came+1
-	b.mean.add(b.work[arrival.ProfileIndex].value, mediumTermSmoothing)
-	b.retries[arrival.ProfileIndex].took(now, b.retryBudget().Window)
-	b.revenue.add(p.Revenue, mediumTermSmoothing)
+	b.arrivalsThisSecond, b.recentArrivals = b.arrivalsThisSecond+1, b.recentArrivals+1
+	b.meanServiceTime.add(b.serviceTime[arrival.ProfileIndex].value, mediumTermSmoothing)
+	b.retryUsage[arrival.ProfileIndex].countTransaction(now, b.retryBudget().Window)
+	b.meanRevenue.add(p.Revenue, mediumTermSmoothing)
 	b.txs[id] = t
-	if b.told() && b.from.ExtraProbesAllowed {
-		b.freshen()
+	if b.hostsReportInFlight() && b.sources.ExtraProbesAllowed {
+		b.probeStaleHosts()
 	}
 	if arrival.TenantIndex >= 0 {
-		t.tenant, t.over = &b.admit.tenants[arrival.TenantIndex], b.admit.over(arrival.TenantIndex)
-		t.outlier = b.admit.isOutlier(t.tenant)
+		t.tenant, t.overShare = &b.admission.tenants[arrival.TenantIndex], b.admission.charge(arrival.TenantIndex)
+		t.outlierTenant = b.admission.isOutlier(t.tenant)
 	}
-	t.weighs = either(arrival.BodyPending || t.outlier, 0, 1)
-	if b.hops.MaxBufferedResponses > 0 {
-		b.at(now+p.ServiceGoal, func() { b.endSlowRead(t) })
+	t.hopWeight = ternary(arrival.BodyPending || t.outlierTenant, 0, 1)
+	if b.hopRule.MaxBufferedResponses > 0 {
+		b.schedule(now+p.ServiceGoal, func() { b.endSlowRead(t) })
 	}
-	either(b.draws(t.home), b.startTransaction, b.ask)(t)
+	ternary(b.picksFor(t.homeGroup), b.startTransaction, b.requestRemotePick)(t)
 }
 
 // pickAdmitted is the host for a new transaction, nil where it is rolled back; a host or profile long unheard of
 // is tried, or a profile would stay barred as long as others are heard of.
 // News of few hops held must not let in all tries at once: hardly more pass than passed of late.
 func (b *Balancer) pickAdmitted(t *tx) *host {
-	if b.byZone() {
+	if b.judgesByZone() {
 		h := b.chooseByZone(t)
-		return either(h != nil && !b.isCold(h) && b.shedsForCongestion(t, h.group), nil, h)
+		return ternary(h != nil && !b.isCold(h) && b.shedsForCongestion(t, h.group), nil, h)
 	}
 	maxTime := b.admissionThreshold(t.profile)
 	h, expectedTime := b.chooseHost(t)
-	maxTime = either(b.place.GatewayCount == 1 && h != nil && h.out() == 0, max(maxTime, b.maxWorthwhileTime(t.profile)), maxTime) // idle
-	overShare := t.over && h != nil && (b.now-h.busyAt >= observationTTL || h.busy >= maxUtilizationForOverShare)
-	maxTime = either(overShare, min(maxTime, b.free[t.profile]), maxTime) // a free slot at a usual host
-	if h != nil && h.model.knee() > 0 {
-		if expectedTime = 0; b.chance.draw()*b.came > maxAdmissionGrowthFactor*b.passed+alwaysAdmittedTransactions {
+	maxTime = ternary(b.topology.GatewayCount == 1 && h != nil && h.inFlight() == 0, max(maxTime, b.maxWorthwhileTime(t.profile)), maxTime) // idle
+	overShare := t.overShare && h != nil && (b.now-h.utilizationAt >= observationTTL || h.utilization >= maxUtilizationForOverShare)
+	maxTime = ternary(overShare, min(maxTime, b.minServiceTime[t.profile]), maxTime) // a free slot at a usual host
+	if h != nil && h.kindStats.concurrencyLimit() > 0 {
+		if expectedTime = 0; b.random.uniform()*b.recentArrivals > maxAdmissionGrowthFactor*b.recentAdmitted+alwaysAdmittedTransactions {
 			return nil
 		}
-		b.passed++
+		b.recentAdmitted++
 	}
-	if h == nil || b.probesOnly() && !h.closed(t.profile) || b.slotsUnknown(h) || expectedTime <= maxTime { // or a trial
+	if h == nil || b.probesOnly() && !h.breakersClosed(t.profile) || b.slotsUnknown(h) || expectedTime <= maxTime { // or a trial
 		return h
 	}
-	if h.own > 0 || b.now-min(max(h.paced, h.restAt), b.heardOf[t.profile]) < observationTTL || !b.randomlyElected() {
+	if h.ownInFlight > 0 || b.now-min(max(h.serviceTimeRatioAt, h.reportedInFlightAt), b.lastAnsweredAt[t.profile]) < observationTTL || !b.randomlyElected() {
 		return nil
 	}
 	if b.probesOnly() { // one such at a time
-		h.paced, b.heardOf[t.profile] = b.now, b.now
+		h.serviceTimeRatioAt, b.lastAnsweredAt[t.profile] = b.now, b.now
 	}
 	return h
 }
 
 // shedsForCongestion tells by chance whether a transaction is rolled back for what hops take in a zone. What is known of
 // another is little and old: by live sizes a jam of the own one counts too, or all would try them by turns.
-func (b *Balancer) shedsForCongestion(t *tx, g *group) bool {
-	if b.blind() {
-		return b.randomlyOverRamp(b.jam(g, t.profile), congestionShedRampStart, congestionShedRampEnd)
+func (b *Balancer) shedsForCongestion(t *tx, g *zoneGroup) bool {
+	if b.hasNoLoadInfo() {
+		return b.randomlyOverRamp(b.congestion(g, t.profile), congestionShedRampStart, congestionShedRampEnd)
 	}
-	congestion := max(b.jam(t.home, t.profile), b.jam(g, t.profile))
-	load := congestion * b.usually(t.profile) / b.maxWorthwhileTime(t.profile) * (g.meets + spareInFlightPerCore) / maxInFlightPerCore
-	return b.chance.draw() < b.shedProbability(g, math.Sqrt(load)-shedLoadThreshold)
+	congestion := max(b.congestion(t.homeGroup, t.profile), b.congestion(g, t.profile))
+	load := congestion * b.referenceTime(t.profile) / b.maxWorthwhileTime(t.profile) * (g.inFlightAtTargets + spareInFlightPerCore) / maxInFlightPerCore
+	return b.random.uniform() < b.shedProbability(g, math.Sqrt(load)-shedLoadThreshold)
 }
 
 // maxCongestionSample is the most that one answer counts for: many long ones are a jam, the more so where nines count.
 func (b *Balancer) maxCongestionSample() float64 {
-	return either(b.price.AvailabilityNines > 0, congestionShedRampEnd, rejectionLatencyRatio)
+	return ternary(b.costModel.AvailabilityNines > 0, congestionShedRampEnd, rejectionLatencyRatio)
 }
 
 // shedProbability is the part of a zone's transactions that is rolled back. It adds up over time, as the list is
 // late: by what is too much now alone zones were closed and flooded by turns.
-func (b *Balancer) shedProbability(g *group, excess float64) float64 {
-	elapsed := min(b.now-g.pressedAt, maxShedIntegrationStep)
-	g.pressed = min(max(0, g.pressed+shedIntegralGainPerSecond*min(excess, 1)*elapsed.Seconds()), maxDivertedFraction)
-	g.pressedAt = b.now
-	return g.pressed + shedProportionalGain*excess
+func (b *Balancer) shedProbability(g *zoneGroup, excess float64) float64 {
+	elapsed := min(b.now-g.shedUpdatedAt, maxShedIntegrationStep)
+	g.shedFraction = min(max(0, g.shedFraction+shedIntegralGainPerSecond*min(excess, 1)*elapsed.Seconds()), maxDivertedFraction)
+	g.shedUpdatedAt = b.now
+	return g.shedFraction + shedProportionalGain*excess
 }
 
 // hopTimeLimit is for how long a hop is let be: the less, the more a zone is jammed. What waits turns hosts slow.
-func (b *Balancer) hopTimeLimit(t *tx, g *group) time.Duration {
-	congestedMultiple := either(t.prof.Effect == Idempotent, congestedCallOffGoalMultipleIdempotent, congestedCallOffGoalMultiple)
-	severity := min(max(0, (b.jam(g, t.profile)-congestionCallOffRampStart)/(congestionCallOffRampEnd-congestionCallOffRampStart)), 1)
-	return time.Duration((callOffGoalMultiple + (congestedMultiple-callOffGoalMultiple)*severity) * float64(t.prof.ServiceGoal))
+func (b *Balancer) hopTimeLimit(t *tx, g *zoneGroup) time.Duration {
+	congestedMultiple := ternary(t.profileConfig.Effect == Idempotent, congestedCallOffGoalMultipleIdempotent, congestedCallOffGoalMultiple)
+	severity := min(max(0, (b.congestion(g, t.profile)-congestionCallOffRampStart)/(congestionCallOffRampEnd-congestionCallOffRampStart)), 1)
+	return time.Duration((callOffGoalMultiple + (congestedMultiple-callOffGoalMultiple)*severity) * float64(t.profileConfig.ServiceGoal))
 }
 
 func (b *Balancer) startTransaction(t *tx) {
@@ -734,38 +736,38 @@
 	case h != nil:
 		b.sendHop(t, h)
 	default:
-		b.shed++
+		b.shedThisSecond++
 		b.finishTransaction(t)
 	}
 }
 
 func (b *Balancer) sendHop(t *tx, h *host) {
 	if b.isCold(h) {
-		h.sent = append(h.sent, b.now)
+		h.coldHopTimes = append(h.coldHopTimes, b.now)
 	}
-	h.own += t.weighs
-	h.waiting = either(h.own == 1, b.now, h.waiting)
-	if inFlight := h.own + h.others; b.slotsUnknown(h) && inFlight >= minInFlightToProbe && inFlight%(minInFlightToProbe/2) == 0 {
-		b.out.Probe(h.ID) // it may be full by now
+	h.ownInFlight += t.hopWeight
+	h.unansweredSince = ternary(h.ownInFlight == 1, b.now, h.unansweredSince)
+	if inFlight := h.ownInFlight + h.peersInFlight; b.slotsUnknown(h) && inFlight >= minInFlightToProbe && inFlight%(minInFlightToProbe/2) == 0 {
+		b.executor.Probe(h.ID) // it may be full by now
 	}
-	b.unsaid(h)
+	b.markUnsent(h)
 	wait, idle := b.hopTimeout(t, h)
-	h.proving = either(h.own == 1, h.used == 0 || idle > 0, h.proving)
-	h.used, t.out = b.now, t.out+1
-	t.hops = append(t.hops, hop{host: h, at: b.now, idle: idle, load: h.out(), then: func() {
-		if t.out == 0 && !b.retry(t) {
+	h.connectionUnproven = ternary(h.ownInFlight == 1, h.lastUsedAt == 0 || idle > 0, h.connectionUnproven)
+	h.lastUsedAt, t.hopsInFlight = b.now, t.hopsInFlight+1
+	t.hops = append(t.hops, hop{host: h, sentAt: b.now, connectionIdle: idle, hostInFlight: h.inFlight(), onFailure: func() {
+		if t.hopsInFlight == 0 && !b.retry(t) {
 			b.finishTransaction(t)
 		}
 	}})
-	b.out.SendHop(t.id, h.ID, wait)
-	if b.blind() && b.hops.CallOff {
-		b.callOffIn(b.hopTimeLimit(t, h.group), t, len(t.hops)-1)
+	b.executor.SendHop(t.id, h.ID, wait)
+	if b.hasNoLoadInfo() && b.hopRule.CallOff {
+		b.callOffAfter(b.hopTimeLimit(t, h.group), t, len(t.hops)-1)
 	}
 }
 
 // isReadSlowly tells whether an answer is late though its host answers others far sooner: its client reads slowly.
 func (b *Balancer) isReadSlowly(t *tx, hop *hop) bool {
-	return b.hops.MaxBufferedResponses > 0 && b.now-hop.at >= t.prof.ServiceGoal && hop.host.lat.value < float64(t.prof.ServiceGoal)/slowReaderGoalDivisor
+	return b.hopRule.MaxBufferedResponses > 0 && b.now-hop.sentAt >= t.profileConfig.ServiceGoal && hop.host.latency.value < float64(t.profileConfig.ServiceGoal)/slowReaderGoalDivisor
 }
 
 // endSlowRead ends what its client reads slowly where such ones hold much of the room for answers: all others
@@ -774,8 +776,8 @@
 	if t.done || len(t.hops) == 0 || !b.isReadSlowly(t, &t.hops[len(t.hops)-1]) {
 		return
 	}
-	t.late = true
-	if b.late++; slowReaderBufferDivisor*b.late > b.hops.MaxBufferedResponses {
+	t.slowReader = true
+	if b.slowReaders++; slowReaderBufferDivisor*b.slowReaders > b.hopRule.MaxBufferedResponses {
 		b.finishTransaction(t)
 	}
 }
@@ -783,96 +785,96 @@
 // connectionBlocked tells whether nothing goes to a host: a new connection, which costs it much even if it fails, just
 // failed, or the first hop on an unproven one is out, with which all others there would be lost.
 func (b *Balancer) connectionBlocked(h *host) bool {
-	return b.now < h.unmade || h.proving && h.own > 0 && b.shaken > 0 && b.now-b.shaken < linkSuspicionDuration
+	return b.now < h.noConnectUntil || h.connectionUnproven && h.ownInFlight > 0 && b.linkSuspectedAt > 0 && b.now-b.linkSuspectedAt < linkSuspicionDuration
 }
 
 // hopTimeout is how long a hop may wait, and how long its connection stood unused, where it may have been dropped.
 func (b *Balancer) hopTimeout(t *tx, h *host) (wait, idle time.Duration) {
-	wait, idle = t.stop-b.now, b.now-h.used
-	if !b.price.OpenConnections || h.used == 0 || idle < suspectConnectionIdleTime || h.own > 1 {
+	wait, idle = t.deadline-b.now, b.now-h.lastUsedAt
+	if !b.costModel.OpenConnections || h.lastUsedAt == 0 || idle < suspectConnectionIdleTime || h.ownInFlight > 1 {
 		return wait, 0
 	}
 	suspectWait := min(wait, time.Duration(suspectConnectionTimeMultiple*b.expectedTime(h, t.profile)))
-	return either(b.shaken > 0 && b.now-b.shaken < linkSuspicionDuration, suspectWait, wait), idle
+	return ternary(b.linkSuspectedAt > 0 && b.now-b.linkSuspectedAt < linkSuspicionDuration, suspectWait, wait), idle
 }
 
 // retry sends a further hop where a host can still answer in time.
 func (b *Balancer) retry(t *tx) bool {
-	if t.errors() >= maxErrorAnswersPerTx && b.errs.value >= commonErrorFraction || !b.retryAffordable(t.profile) {
+	if t.errorCount() >= maxErrorAnswersPerTx && b.errorFraction.value >= commonErrorFraction || !b.retryAffordable(t.profile) {
 		return false
 	}
 	h, expectedTime := b.chooseHost(t)
-	if h == nil || len(t.hops) >= t.most || expectedTime >= float64(t.stop-b.now) ||
-		b.probesOnly() && h.closed(t.profile) && expectedTime > b.admissionThreshold(t.profile) {
+	if h == nil || len(t.hops) >= t.maxHops || expectedTime >= float64(t.deadline-b.now) ||
+		b.probesOnly() && h.breakersClosed(t.profile) && expectedTime > b.admissionThreshold(t.profile) {
 		return false
 	}
-	b.retries[t.profile].retried(b.now, b.retryBudget().Window)
+	b.retryUsage[t.profile].countRetry(b.now, b.retryBudget().Window)
 	b.sendHop(t, h)
 	return true
 }
 
 // retryBudget is the rule where one is stated; else, where nothing tells of jams, what keeps them small.
 func (b *Balancer) retryBudget() RetryBudget {
-	stated := b.hops.RetryBudget.Window > 0 || !b.blind()
-	return either(stated, b.hops.RetryBudget, RetryBudget{defaultBaseRetries, defaultRetriesPerTransaction, defaultRetryWindow})
+	stated := b.hopRule.RetryBudget.Window > 0 || !b.hasNoLoadInfo()
+	return ternary(stated, b.hopRule.RetryBudget, RetryBudget{defaultBaseRetries, defaultRetriesPerTransaction, defaultRetryWindow})
 }
 
 // retryAffordable keeps the retry budget in any window; of each profile's part, by revenue, some is kept from others.
 func (b *Balancer) retryAffordable(profile int) bool {
 	budget, revenue, taken := b.retryBudget(), 0.0, 0.0
-	for i := range b.retries {
-		transactions := b.retries[i].taken.least(b.now, budget.Window)
+	for i := range b.retryUsage {
+		transactions := b.retryUsage[i].transactions.lowerBound(b.now, budget.Window)
 		taken, revenue = taken+transactions, revenue+transactions*b.profiles[i].Revenue
 	}
 	remaining := budget.BaseRetries + budget.RetriesPerTransaction*taken
 	reservedPerRevenue := reservedRetryFraction * remaining / max(revenue, 1)
-	for i := range b.retries {
-		usage, used := &b.retries[i], b.retries[i].hops.most(b.now, budget.Window)
-		remaining -= either(i == profile, used, max(used, reservedPerRevenue*usage.taken.least(b.now, budget.Window)*b.profiles[i].Revenue))
+	for i := range b.retryUsage {
+		usage, used := &b.retryUsage[i], b.retryUsage[i].retries.upperBound(b.now, budget.Window)
+		remaining -= ternary(i == profile, used, max(used, reservedPerRevenue*usage.transactions.lowerBound(b.now, budget.Window)*b.profiles[i].Revenue))
 	}
 	return remaining >= 1 || budget.Window == 0
 }
 
 // finishTransaction answers at once; to be rolled back, nothing may be left.
 func (b *Balancer) finishTransaction(t *tx) {
-	if t.prof.Effect == Idempotent || t.ran() == nil || t.prof.Effect == Journalled && t.prof.DedupScope == DedupAllHosts {
-		b.out.RollBack(t.id, min(time.Duration(b.work[t.profile].value), b.hops.MaxRetryAfter))
+	if t.profileConfig.Effect == Idempotent || t.possiblyRunHop() == nil || t.profileConfig.Effect == Journalled && t.profileConfig.DedupScope == DedupAllHosts {
+		b.executor.RollBack(t.id, min(time.Duration(b.serviceTime[t.profile].value), b.hopRule.MaxRetryAfter))
 	} else {
-		b.out.Abandon(t.id)
+		b.executor.Abandon(t.id)
 	}
-	b.settle(t)
+	b.settleTransaction(t)
 }
 
 func (b *Balancer) HopEnded(now time.Duration, id TxID, hopIndex int, result HopResult, txAnswered bool) {
-	b.turn(now)
-	t, hop := b.hopOut(id, hopIndex)
+	b.beginCall(now)
+	t, hop := b.openHop(id, hopIndex)
 	if hop == nil {
 		return
 	}
-	hop.over, hop.end, t.out, hop.host.own = true, result.Outcome, t.out-1, hop.host.own-t.weighs
+	hop.ended, hop.outcome, t.hopsInFlight, hop.host.ownInFlight = true, result.Outcome, t.hopsInFlight-1, hop.host.ownInFlight-t.hopWeight
 	switch {
 	case result.Outcome == HopCommitted:
-		hop.host.used, hop.host.proving = now, false
-		hop.host.model.done += either(b.isCold(hop.host), 0.0, 1)
-	case hop.idle > 0 && result.Outcome == HopTimedOut && hop.at >= b.still:
-		b.shaken = now
-		b.out.CloseIdleConnections(hop.host.ID)
-	case result.Outcome == HopNoConnection && b.price.OpenConnections:
-		b.shaken, hop.host.unmade = now, now+time.Duration((0.75+b.chance.draw()/2)*float64(maxCooldown))
-	}
-	b.close(hop.host.Host)
-	b.unsaid(hop.host)
+		hop.host.lastUsedAt, hop.host.connectionUnproven = now, false
+		hop.host.kindStats.answersThisSecond += ternary(b.isCold(hop.host), 0.0, 1)
+	case hop.connectionIdle > 0 && result.Outcome == HopTimedOut && hop.sentAt >= b.lastStallEnd:
+		b.linkSuspectedAt = now
+		b.executor.CloseIdleConnections(hop.host.ID)
+	case result.Outcome == HopNoConnection && b.costModel.OpenConnections:
+		b.linkSuspectedAt, hop.host.noConnectUntil = now, now+time.Duration((0.75+b.random.uniform()/2)*float64(maxCooldown))
+	}
+	b.closeIdleIfNotReady(hop.host.Host)
+	b.markUnsent(hop.host)
 	calledOff := result.Outcome == HopCalledOff // by a blind gateway itself, where it is late
-	late := result.Outcome == HopTimedOut || (result.Outcome == HopCommitted || calledOff && b.blind()) && now-hop.at > t.prof.ServiceGoal
+	late := result.Outcome == HopTimedOut || (result.Outcome == HopCommitted || calledOff && b.hasNoLoadInfo()) && now-hop.sentAt > t.profileConfig.ServiceGoal
 	if t.tenant != nil && (late || result.Outcome == HopCommitted) {
-		t.tenant.missed.add(either(late, 1.0, 0), failureFractionSmoothing)
+		t.tenant.missedGoalFraction.add(ternary(late, 1.0, 0), failureFractionSmoothing)
 	}
-	tenantOnly := t.outlier && (late || result.Outcome == HopCommitted) || (late || calledOff) && b.suspectedOutlier(t.tenant)
-	if !tenantOnly && !b.draws(hop.host.group) && hop.at >= b.still {
-		hop.host.ends = append(hop.host.ends, PeerEntry{EntryHopEnded, hop.host.ID, int(hop.load), t.profile, result.Outcome, result.Latency})
+	tenantOnly := t.outlierTenant && (late || result.Outcome == HopCommitted) || (late || calledOff) && b.suspectedOutlier(t.tenant)
+	if !tenantOnly && !b.picksFor(hop.host.group) && hop.sentAt >= b.lastStallEnd {
+		hop.host.unsentOutcomes = append(hop.host.unsentOutcomes, PeerEntry{EntryHopEnded, hop.host.ID, int(hop.hostInFlight), t.profile, result.Outcome, result.Latency})
 	}
-	if hop.at >= b.still && !tenantOnly && !b.isReadSlowly(t, hop) { // else it speaks of this gateway, a client, a tenant
-		b.recordOutcome(hop.host, hop.load, t.profile, result)
+	if hop.sentAt >= b.lastStallEnd && !tenantOnly && !b.isReadSlowly(t, hop) { // else it speaks of this gateway, a client, a tenant
+		b.recordOutcome(hop.host, hop.hostInFlight, t.profile, result)
 	}
-	either(t.done || txAnswered, func() { b.settle(t) }, hop.then)()
+	ternary(t.done || txAnswered, func() { b.settleTransaction(t) }, hop.onFailure)()
 }
--- a/logic/state.go
+++ b/logic/state.go
@@ -14,248 +14,248 @@
 // Balancer decides for one gateway. Its parts each own their state: the host table, the health of each host,
 // admission, and each transaction's path.
 type Balancer struct {
-	out      Executor
-	place    Topology
-	profiles []Profile
-	hops     HopRule
-	from     InformationSources
-	price    CostModel
-	cold     ColdHostRule
-	drains   DrainRule
-	table    table
-	admit    admission
-	txs      map[TxID]*tx
+	executor  Executor
+	topology  Topology
+	profiles  []Profile
+	hopRule   HopRule
+	sources   InformationSources
+	costModel CostModel
+	coldRule  ColdHostRule
+	drainRule DrainRule
+	hosts     hostTable
+	admission tenantAdmission
+	txs       map[TxID]*tx
 
 	now    time.Duration
-	due    dueTimes
-	chance chance
-
-	work    []average       // by profile: a hop's time on a host of pace 1 with a core free, nanoseconds
-	slow    []average       // the same over far more answers
-	free    []float64       // by profile: the least that has been of late, as when hosts are free
-	was     []float64       // by profile: answers counted in its time a second ago
-	retries []retries       // by profile
-	heardOf []time.Duration // by profile: when one was last answered
-	late    int             // transactions whose clients read their answers slowly
-	errs    average         // share of errors at all hosts
-	mean    average         // time of the transactions taken, as of work
-	revenue average         // of the transactions taken
-	came    float64         // transactions taken of late
-	passed  float64         // of these, those that went to a host
-	shed    int             // rolled back on arrival within the last second
-	taken   float64         // transactions taken within the last second
-	rate    average         // the same, smoothed
-	shaken  time.Duration   // when a connection last could not be made, or a hop on an unused one had no answer
-	still   time.Duration   // until when this gateway last stood still
-	probes  float64         // that may be sent beside answers
-
-	untold   []*host   // hosts to tell of soon
-	relaying bool      // sums are due to be told
-	asking   []*asking // those that have no answer yet
-	askTime  average   // from an ask to its answer, or until it was given up
-	mute     int       // asks in a row that had no answer
-	askedAt  time.Duration
-}
-
-// asking is one ask of another gateway for a host.
-type asking struct {
-	tx    *tx
-	at    time.Duration
-	waits bool // its request goes on with the answer
+	timers timerQueue
+	random randomSource
+
+	serviceTime         []movingAverage // by profile: a hop's time on a host of pace 1 with a core free, nanoseconds
+	longTermServiceTime []movingAverage // the same over far more answers
+	minServiceTime      []float64       // by profile: the least that has been of late, as when hosts are free
+	previousSamples     []float64       // by profile: answers counted in its time a second ago
+	retryUsage          []retryUsage    // by profile
+	lastAnsweredAt      []time.Duration // by profile: when one was last answered
+	slowReaders         int             // transactions whose clients read their answers slowly
+	errorFraction       movingAverage   // share of errors at all hosts
+	meanServiceTime     movingAverage   // time of the transactions taken, as of work
+	meanRevenue         movingAverage   // of the transactions taken
+	recentArrivals      float64         // transactions taken of late
+	recentAdmitted      float64         // of these, those that went to a host
+	shedThisSecond      int             // rolled back on arrival within the last second
+	arrivalsThisSecond  float64         // transactions taken within the last second
+	arrivalRate         movingAverage   // the same, smoothed
+	linkSuspectedAt     time.Duration   // when a connection last could not be made, or a hop on an unused one had no answer
+	lastStallEnd        time.Duration   // until when this gateway last stood still
+	probeTokens         float64         // that may be sent beside answers
+
+	unsentHosts                []*host        // hosts to tell of soon
+	coordinating               bool           // sums are due to be told
+	pendingPicks               []*pendingPick // those that have no answer yet
+	remotePickLatency          movingAverage  // from an ask to its answer, or until it was given up
+	consecutiveUnansweredPicks int            // asks in a row that had no answer
+	lastPickRequestAt          time.Duration
+}
+
+// pendingPick is one ask of another gateway for a host.
+type pendingPick struct {
+	tx      *tx
+	sentAt  time.Duration
+	txWaits bool // its request goes on with the answer
 }
 
 // New makes the decisions of one gateway; seed is the root of all its chance.
-func New(out Executor, now time.Duration, seed uint64, place Topology, profiles []Profile, tenants []Tenant,
-	cold ColdHostRule, drains DrainRule, hops HopRule, from InformationSources, price CostModel) *Balancer {
-	b := &Balancer{out: out, now: now, place: place, profiles: profiles, hops: hops, from: from, price: price,
-		cold: cold, drains: drains,
-		chance: chance{seed: crc32.ChecksumIEEE(binary.LittleEndian.AppendUint64(nil, seed))}, txs: map[TxID]*tx{},
-		work: make([]average, len(profiles)), slow: make([]average, len(profiles)),
-		free: make([]float64, len(profiles)), was: make([]float64, len(profiles)), retries: make([]retries, len(profiles)),
-		heardOf: make([]time.Duration, len(profiles)),
-		errs:    average{n: 1 / mediumTermSmoothing}, // none at first
-		table:   table{byID: map[HostID]*host{}, models: map[string]*model{}}}
-	if price.OpenConnections || b.blind() { // those that it keeps to are its own: all gateways' alike would be crowded
-		b.table.ranks = crc32.ChecksumIEEE(binary.LittleEndian.AppendUint32(nil, uint32(place.GatewayIndex))) | 1
-	}
-	b.table.addGroups(place)
+func New(executor Executor, now time.Duration, seed uint64, topology Topology, profiles []Profile, tenants []Tenant,
+	coldRule ColdHostRule, drainRule DrainRule, hopRule HopRule, sources InformationSources, costModel CostModel) *Balancer {
+	b := &Balancer{executor: executor, now: now, topology: topology, profiles: profiles, hopRule: hopRule, sources: sources, costModel: costModel,
+		coldRule: coldRule, drainRule: drainRule,
+		random: randomSource{seed: crc32.ChecksumIEEE(binary.LittleEndian.AppendUint64(nil, seed))}, txs: map[TxID]*tx{},
+		serviceTime: make([]movingAverage, len(profiles)), longTermServiceTime: make([]movingAverage, len(profiles)),
+		minServiceTime: make([]float64, len(profiles)), previousSamples: make([]float64, len(profiles)), retryUsage: make([]retryUsage, len(profiles)),
+		lastAnsweredAt: make([]time.Duration, len(profiles)),
+		errorFraction:  movingAverage{samples: 1 / mediumTermSmoothing}, // none at first
+		hosts:          hostTable{byID: map[HostID]*host{}, kinds: map[string]*kindStats{}}}
+	if costModel.OpenConnections || b.hasNoLoadInfo() { // those that it keeps to are its own: all gateways' alike would be crowded
+		b.hosts.rankSeed = crc32.ChecksumIEEE(binary.LittleEndian.AppendUint32(nil, uint32(topology.GatewayIndex))) | 1
+	}
+	b.hosts.addGroups(topology)
 	for _, t := range tenants {
-		b.admit.tenants = append(b.admit.tenants, tenant{name: t.Name, quota: t.QuotaPerSecond})
+		b.admission.tenants = append(b.admission.tenants, tenant{name: t.Name, quota: t.QuotaPerSecond})
 	}
 	for i, p := range profiles {
-		b.work[i].value = initialServiceTimeGoalFraction * float64(p.ServiceGoal)
-		b.free[i] = b.work[i].value
+		b.serviceTime[i].value = initialServiceTimeGoalFraction * float64(p.ServiceGoal)
+		b.minServiceTime[i] = b.serviceTime[i].value
 	}
-	b.at(now+time.Duration(b.chance.draw()*float64(time.Second)), b.everySecond)
-	if from.MaxListPollInterval > 0 {
-		b.at(now+b.spread(requestRetryDelay), out.RequestHostList)
+	b.schedule(now+time.Duration(b.random.uniform()*float64(time.Second)), b.everySecond)
+	if sources.MaxListPollInterval > 0 {
+		b.schedule(now+b.randomListDelay(requestRetryDelay), executor.RequestHostList)
 	}
 	return b
 }
 
 // Reconfigure takes other rules. What is open holds the profile and the number of hops with which it was taken; a profile that is new
 // begins with what was learnt of the last one of its name.
-func (b *Balancer) Reconfigure(now time.Duration, profiles []Profile, tenants []Tenant, cold ColdHostRule, drains DrainRule, hops HopRule,
-	from InformationSources, price CostModel) {
-	b.turn(now)
+func (b *Balancer) Reconfigure(now time.Duration, profiles []Profile, tenants []Tenant, coldRule ColdHostRule, drainRule DrainRule, hopRule HopRule,
+	sources InformationSources, costModel CostModel) {
+	b.beginCall(now)
 	for i := len(b.profiles); i < len(profiles); i++ {
-		work := average{value: initialServiceTimeGoalFraction * float64(profiles[i].ServiceGoal)}
-		slow, free, like := average{}, work.value, -1
+		serviceTime := movingAverage{value: initialServiceTimeGoalFraction * float64(profiles[i].ServiceGoal)}
+		longTerm, minTime, sameNameIndex := movingAverage{}, serviceTime.value, -1
 		for k := range b.profiles {
 			if b.profiles[k].Name == profiles[i].Name {
-				work, slow, free, like = b.work[k], b.slow[k], b.free[k], k
+				serviceTime, longTerm, minTime, sameNameIndex = b.serviceTime[k], b.longTermServiceTime[k], b.minServiceTime[k], k
 			}
 		}
-		b.work, b.slow, b.free = append(b.work, work), append(b.slow, slow), append(b.free, free)
-		b.was, b.retries, b.heardOf = append(b.was, work.n), append(b.retries, retries{}), append(b.heardOf, 0)
-		for _, h := range b.table.byID { // in any order: each gets its own
+		b.serviceTime, b.longTermServiceTime, b.minServiceTime = append(b.serviceTime, serviceTime), append(b.longTermServiceTime, longTerm), append(b.minServiceTime, minTime)
+		b.previousSamples, b.retryUsage, b.lastAnsweredAt = append(b.previousSamples, serviceTime.samples), append(b.retryUsage, retryUsage{}), append(b.lastAnsweredAt, 0)
+		for _, h := range b.hosts.byID { // in any order: each gets its own
 			k := breaker{}
-			if like >= 0 {
-				k = h.by[like]
+			if sameNameIndex >= 0 {
+				k = h.profileBreakers[sameNameIndex]
 			}
-			h.by = append(h.by, k)
+			h.profileBreakers = append(h.profileBreakers, k)
 		}
 	}
-	for i := range b.retries {
-		if hops.RetryBudget.Window != b.hops.RetryBudget.Window { // what was taken before earns nothing; hops made still count
-			b.retries[i].taken = window{}
+	for i := range b.retryUsage {
+		if hopRule.RetryBudget.Window != b.hopRule.RetryBudget.Window { // what was taken before earns nothing; hops made still count
+			b.retryUsage[i].transactions = slidingWindow{}
 		}
 	}
-	was := b.admit.tenants
-	b.admit.tenants = nil
+	oldTenants := b.admission.tenants
+	b.admission.tenants = nil
 	for _, t := range tenants {
-		kept := tenant{name: t.Name}
-		if i := slices.IndexFunc(was, func(k tenant) bool { return k.name == t.Name }); i >= 0 {
-			kept = was[i]
+		carried := tenant{name: t.Name}
+		if i := slices.IndexFunc(oldTenants, func(k tenant) bool { return k.name == t.Name }); i >= 0 {
+			carried = oldTenants[i]
 		}
-		kept.quota = t.QuotaPerSecond
-		b.admit.tenants = append(b.admit.tenants, kept)
+		carried.quota = t.QuotaPerSecond
+		b.admission.tenants = append(b.admission.tenants, carried)
 	}
-	cold.PredecessorActiveUntil = b.cold.PredecessorActiveUntil
-	b.profiles, b.cold, b.drains, b.hops, b.from, b.price = profiles, cold, drains, hops, from, price
+	coldRule.PredecessorActiveUntil = b.coldRule.PredecessorActiveUntil
+	b.profiles, b.coldRule, b.drainRule, b.hopRule, b.sources, b.costModel = profiles, coldRule, drainRule, hopRule, sources, costModel
 }
 
 func (b *Balancer) ExportLearned(now time.Duration) LearnedState {
-	l := LearnedState{Errs: b.errs.mean()}
+	learned := LearnedState{Errs: b.errorFraction.export()}
 	for i, p := range b.profiles {
-		if !p.Removed && b.work[i].n > 0 {
-			l.Profiles = append(l.Profiles, LearnedProfile{Name: p.Name, Work: b.work[i].mean(), Slow: b.slow[i].mean(), Free: b.free[i]})
+		if !p.Removed && b.serviceTime[i].samples > 0 {
+			learned.Profiles = append(learned.Profiles, LearnedProfile{Name: p.Name, Work: b.serviceTime[i].export(), Slow: b.longTermServiceTime[i].export(), Free: b.minServiceTime[i]})
 		}
 	}
-	for _, kind := range slices.Sorted(maps.Keys(b.table.models)) {
-		m := b.table.models[kind]
-		l.Kinds = append(l.Kinds, LearnedHostKind{kind, m.places.mean(), m.pace.mean(), m.usual.mean(), m.held.mean(), m.busy.mean()})
+	for _, kind := range slices.Sorted(maps.Keys(b.hosts.kinds)) {
+		stats := b.hosts.kinds[kind]
+		learned.Kinds = append(learned.Kinds, LearnedHostKind{kind, stats.slots.export(), stats.serviceTimeRatio.export(), stats.meanInFlight.export(), stats.uncrowdedInFlight.export(), stats.uncrowdedUtilization.export()})
 	}
-	for _, h := range b.table.ready {
-		k := LearnedHost{ID: h.ID, Up: either(h.StartedAt == 0, -1, now-h.StartedAt), Weight: h.weight, Pace: h.pace.mean(), Latency: h.lat.mean(),
-			Cool: h.whole.cool, Share: h.whole.share}
-		if h.whole.open {
-			k.Open = max(1, h.whole.until-now)
+	for _, h := range b.hosts.ready {
+		entry := LearnedHost{ID: h.ID, Up: ternary(h.StartedAt == 0, -1, now-h.StartedAt), Weight: h.weight, Pace: h.serviceTimeRatio.export(), Latency: h.latency.export(),
+			Cool: h.hostBreaker.cooldown, Share: h.hostBreaker.errorFraction}
+		if h.hostBreaker.open {
+			entry.Open = max(1, h.hostBreaker.nextTrialAt-now)
 		}
-		l.Hosts = append(l.Hosts, k)
+		learned.Hosts = append(learned.Hosts, entry)
 	}
-	return l
+	return learned
 }
 
 // ImportLearned trusts what was learnt of profiles and kinds for as long as it takes; what was learnt of hosts is old after some seconds. What
 // this process has learnt by itself stays.
-func (b *Balancer) ImportLearned(now time.Duration, l LearnedState, age time.Duration) {
-	b.turn(now)
-	for _, p := range l.Profiles {
-		i := slices.IndexFunc(b.profiles, func(k Profile) bool { return k.Name == p.Name && !k.Removed })
-		if i >= 0 && b.work[i].n == 0 && p.Work.Value > 0 && p.Free > 0 {
-			b.work[i], b.slow[i], b.free[i], b.was[i] = p.Work.average(), p.Slow.average(), p.Free, p.Work.N
+func (b *Balancer) ImportLearned(now time.Duration, learned LearnedState, age time.Duration) {
+	b.beginCall(now)
+	for _, p := range learned.Profiles {
+		i := slices.IndexFunc(b.profiles, func(entry Profile) bool { return entry.Name == p.Name && !entry.Removed })
+		if i >= 0 && b.serviceTime[i].samples == 0 && p.Work.Value > 0 && p.Free > 0 {
+			b.serviceTime[i], b.longTermServiceTime[i], b.minServiceTime[i], b.previousSamples[i] = p.Work.movingAverage(), p.Slow.movingAverage(), p.Free, p.Work.N
 		}
 	}
-	for _, k := range l.Kinds {
-		if m := b.table.models[k.Kind]; m != nil && m.places.n == 0 && m.pace.n == 0 {
-			m.places, m.pace, m.usual, m.held, m.busy = k.Places.average(), k.Pace.average(), k.Usual.average(), k.Held.average(), k.Busy.average()
+	for _, entry := range learned.Kinds {
+		if stats := b.hosts.kinds[entry.Kind]; stats != nil && stats.slots.samples == 0 && stats.serviceTimeRatio.samples == 0 {
+			stats.slots, stats.serviceTimeRatio, stats.meanInFlight, stats.uncrowdedInFlight, stats.uncrowdedUtilization = entry.Places.movingAverage(), entry.Pace.movingAverage(), entry.Usual.movingAverage(), entry.Held.movingAverage(), entry.Busy.movingAverage()
 		}
 	}
 	if age > observationTTL {
 		return
 	}
-	b.errs = l.Errs.average()
-	for _, k := range l.Hosts {
-		h := b.table.readyHost(k.ID)
-		if h == nil || h.lat.n > 0 || k.Up >= 0 && (now-h.StartedAt-k.Up-age).Abs() > maxStartTimeSkew || (k.Up < 0) != (h.StartedAt == 0) {
+	b.errorFraction = learned.Errs.movingAverage()
+	for _, entry := range learned.Hosts {
+		h := b.hosts.readyHost(entry.ID)
+		if h == nil || h.latency.samples > 0 || entry.Up >= 0 && (now-h.StartedAt-entry.Up-age).Abs() > maxStartTimeSkew || (entry.Up < 0) != (h.StartedAt == 0) {
 			continue
 		}
-		h.weight, h.pace, h.lat, h.paced = k.Weight, k.Pace.average(), k.Latency.average(), now
-		h.whole.share, h.whole.cool = k.Share, k.Cool
-		if k.Open > age {
-			h.whole.open, h.whole.until = true, now+k.Open-age
+		h.weight, h.serviceTimeRatio, h.latency, h.serviceTimeRatioAt = entry.Weight, entry.Pace.movingAverage(), entry.Latency.movingAverage(), now
+		h.hostBreaker.errorFraction, h.hostBreaker.cooldown = entry.Share, entry.Cool
+		if entry.Open > age {
+			h.hostBreaker.open, h.hostBreaker.nextTrialAt = true, now+entry.Open-age
 		}
 	}
 }
 
-// unsaid has a host told of soon.
-func (b *Balancer) unsaid(h *host) {
-	if b.from.PeersShareInFlight && h != nil && !h.unsaid {
-		h.unsaid = true
-		if b.untold = append(b.untold, h); len(b.untold) == 1 {
-			b.at(b.now+peerMessageDelay, b.tell)
+// markUnsent has a host told of soon.
+func (b *Balancer) markUnsent(h *host) {
+	if b.sources.PeersShareInFlight && h != nil && !h.unsent {
+		h.unsent = true
+		if b.unsentHosts = append(b.unsentHosts, h); len(b.unsentHosts) == 1 {
+			b.schedule(b.now+peerMessageDelay, b.sendPeerMessages)
 		}
 	}
 }
 
-// sayAgain has what is out at a host told once more, as messages may be lost.
-func (b *Balancer) sayAgain(h *host) {
-	if h.own > 0 || h.again {
-		b.unsaid(h)
+// markForResend has what is out at a host told once more, as messages may be lost.
+func (b *Balancer) markForResend(h *host) {
+	if h.ownInFlight > 0 || h.resend {
+		b.markUnsent(h)
 	}
-	h.again = false
+	h.resend = false
 }
 
-// releaseUnused closes the connections to a host that were not used for the given time, where open connections have a price.
-func (b *Balancer) releaseUnused(h *host, unused time.Duration) {
-	if b.price.OpenConnections && h.used > 0 && h.own == 0 && b.now-h.used > unused {
-		h.used = 0
-		b.out.CloseIdleConnections(h.ID)
+// closeIdleConnections closes the connections to a host that were not used for the given time, where open connections have a price.
+func (b *Balancer) closeIdleConnections(h *host, idleFor time.Duration) {
+	if b.costModel.OpenConnections && h.lastUsedAt > 0 && h.ownInFlight == 0 && b.now-h.lastUsedAt > idleFor {
+		h.lastUsedAt = 0
+		b.executor.CloseIdleConnections(h.ID)
 	}
 }
 
 // logShed logs how many transactions were rolled back on arrival within the last second.
 func (b *Balancer) logShed() {
-	if b.shed > 0 {
-		b.out.Log(fmt.Sprintf("last second: %d rolled back on arrival", b.shed))
+	if b.shedThisSecond > 0 {
+		b.executor.Log(fmt.Sprintf("last second: %d rolled back on arrival", b.shedThisSecond))
 	}
-	b.shed = 0
+	b.shedThisSecond = 0
 }
 
-// callOffIn calls a hop off after that time, unless it or its transaction has ended by then.
-func (b *Balancer) callOffIn(in time.Duration, t *tx, i int) {
-	b.at(b.now+in, func() {
-		if !t.done && !t.hops[i].over {
-			b.out.CallOff(t.id, i)
+// callOffAfter calls a hop off after that time, unless it or its transaction has ended by then.
+func (b *Balancer) callOffAfter(delay time.Duration, t *tx, hopIndex int) {
+	b.schedule(b.now+delay, func() {
+		if !t.done && !t.hops[hopIndex].ended {
+			b.executor.CallOff(t.id, hopIndex)
 		}
 	})
 }
 
-// tell tells all that is new.
-func (b *Balancer) tell() {
-	for _, g := range b.table.groups {
-		if held := news(b.untold, g); len(held) > 0 && b.drawer(g) != b.place.GatewayIndex {
-			b.out.SendPeerMessage(b.drawer(g), held)
+// sendPeerMessages tells all that is new.
+func (b *Balancer) sendPeerMessages() {
+	for _, g := range b.hosts.groups {
+		if entries := unsentEntries(b.unsentHosts, g); len(entries) > 0 && b.coordinatorOf(g) != b.topology.GatewayIndex {
+			b.executor.SendPeerMessage(b.coordinatorOf(g), entries)
 		}
 	}
-	b.untold = b.untold[:0]
+	b.unsentHosts = b.unsentHosts[:0]
 }
 
-// relay tells those that draw for other zones how the hosts of this one stand.
-func (b *Balancer) relay() {
-	b.at(b.now+aggregateInterval, b.relay)
-	var sums []PeerEntry
-	for _, h := range b.table.ready {
-		if b.draws(h.group) && !h.whole.open && !b.unresponsive(h) {
-			took := time.Duration(h.boundedServiceTimeRatio() * b.work[0].value)
-			sums = append(sums, PeerEntry{Kind: EntryAggregate, Host: h.ID, InFlight: h.own + h.others, Latency: took})
+// sendAggregates tells those that draw for other zones how the hosts of this one stand.
+func (b *Balancer) sendAggregates() {
+	b.schedule(b.now+aggregateInterval, b.sendAggregates)
+	var aggregates []PeerEntry
+	for _, h := range b.hosts.ready {
+		if b.picksFor(h.group) && !h.hostBreaker.open && !b.unresponsive(h) {
+			baseLatency := time.Duration(h.boundedServiceTimeRatio() * b.serviceTime[0].value)
+			aggregates = append(aggregates, PeerEntry{Kind: EntryAggregate, Host: h.ID, InFlight: h.ownInFlight + h.peersInFlight, Latency: baseLatency})
 		}
 	}
-	for _, g := range b.table.groups {
-		if !b.draws(g) {
-			b.out.SendPeerMessage(b.drawer(g), sums)
-			g.missed(1, int(observationTTL/aggregateInterval))
+	for _, g := range b.hosts.groups {
+		if !b.picksFor(g) {
+			b.executor.SendPeerMessage(b.coordinatorOf(g), aggregates)
+			g.recordUnanswered(1, int(observationTTL/aggregateInterval))
 		}
 	}
 }
@@ -263,75 +263,75 @@
 // Telling. Few gateways tell all others what they have out. One of many hardly meets a host twice: one a zone
 // draws for all, is asked for each transaction and told how hops ended. Unanswered, each draws by itself.
 
-// drawer draws for a zone; it is -1 where each gateway draws for itself.
-func (b *Balancer) drawer(g *group) int {
-	if !b.from.PeersShareInFlight || b.place.GatewayCount <= maxIndependentGateways {
+// coordinatorOf draws for a zone; it is -1 where each gateway draws for itself.
+func (b *Balancer) coordinatorOf(g *zoneGroup) int {
+	if !b.sources.PeersShareInFlight || b.topology.GatewayCount <= maxIndependentGateways {
 		return -1
 	}
-	return (g.index + g.skip*len(b.table.groups)) % b.place.GatewayCount
+	return (g.index + g.skippedCoordinators*len(b.hosts.groups)) % b.topology.GatewayCount
 }
 
-func (b *Balancer) draws(g *group) bool {
-	return b.drawer(g) < 0 || b.drawer(g) == b.place.GatewayIndex
+func (b *Balancer) picksFor(g *zoneGroup) bool {
+	return b.coordinatorOf(g) < 0 || b.coordinatorOf(g) == b.topology.GatewayIndex
 }
 
-// ask asks for a host. A request waits for the answer only where such answers come soon enough to be worth it; else its gateway picks at
+// requestRemotePick asks for a host. A request waits for the answer only where such answers come soon enough to be worth it; else its gateway picks at
 // once from what it knows, and asks once a second without waiting, to learn whether that has changed. The same where several that draw were
 // silent one after the other: then it is this gateway, or all, that nobody hears.
-func (b *Balancer) ask(t *tx) {
-	waits := b.remotePickWorthwhile(t) && b.mute < unansweredPicksToSuspectIsolation
-	if !waits && b.now-b.askedAt < requestRetryDelay {
+func (b *Balancer) requestRemotePick(t *tx) {
+	txWaits := b.remotePickWorthwhile(t) && b.consecutiveUnansweredPicks < unansweredPicksToSuspectIsolation
+	if !txWaits && b.now-b.lastPickRequestAt < requestRetryDelay {
 		b.startTransaction(t)
 		return
 	}
-	b.askedAt = b.now
-	asking := &asking{t, b.now, waits}
-	b.asking = append(b.asking, asking)
-	b.out.SendPeerMessage(b.drawer(t.home), []PeerEntry{{Kind: EntryPickRequest, Profile: t.profile, InFlight: t.home.index}})
-	b.at(b.now+min(remotePickTimeout, (t.stop-b.now)/2), func() { b.unanswered(asking) })
-	if !waits {
+	b.lastPickRequestAt = b.now
+	pending := &pendingPick{t, b.now, txWaits}
+	b.pendingPicks = append(b.pendingPicks, pending)
+	b.executor.SendPeerMessage(b.coordinatorOf(t.homeGroup), []PeerEntry{{Kind: EntryPickRequest, Profile: t.profile, InFlight: t.homeGroup.index}})
+	b.schedule(b.now+min(remotePickTimeout, (t.deadline-b.now)/2), func() { b.remotePickTimedOut(pending) })
+	if !txWaits {
 		b.startTransaction(t)
 	}
 }
 
-// unanswered gives up an ask unless it was answered.
-func (b *Balancer) unanswered(a *asking) {
-	i := slices.Index(b.asking, a)
+// remotePickTimedOut gives up an ask unless it was answered.
+func (b *Balancer) remotePickTimedOut(pending *pendingPick) {
+	i := slices.Index(b.pendingPicks, pending)
 	if i < 0 {
 		return
 	}
-	b.asking = slices.Delete(b.asking, i, i+1)
-	b.askTime.add(float64(b.now-a.at), rateSmoothing)
-	home, missed := a.tx.home, 1
-	if !a.waits && b.mute < unansweredPicksToSuspectIsolation { // it stands for those of its second that were not asked for
+	b.pendingPicks = slices.Delete(b.pendingPicks, i, i+1)
+	b.remotePickLatency.add(float64(b.now-pending.sentAt), rateSmoothing)
+	home, missed := pending.tx.homeGroup, 1
+	if !pending.txWaits && b.consecutiveUnansweredPicks < unansweredPicksToSuspectIsolation { // it stands for those of its second that were not asked for
 		missed = consecutiveFailuresToOpen
 	}
-	home.missed(missed, either(b.mute < unansweredPicksToSuspectIsolation, consecutiveFailuresToOpen, 2*consecutiveFailuresToOpen))
-	was := b.mute
-	if b.mute += missed; was < unansweredPicksToSuspectIsolation && b.mute >= unansweredPicksToSuspectIsolation { // once heard again all are to ask the same one
-		home.skip, home.misses = 0, 0
+	home.recordUnanswered(missed, ternary(b.consecutiveUnansweredPicks < unansweredPicksToSuspectIsolation, consecutiveFailuresToOpen, 2*consecutiveFailuresToOpen))
+	before := b.consecutiveUnansweredPicks
+	if b.consecutiveUnansweredPicks += missed; before < unansweredPicksToSuspectIsolation && b.consecutiveUnansweredPicks >= unansweredPicksToSuspectIsolation { // once heard again all are to ask the same one
+		home.skippedCoordinators, home.consecutiveUnanswered = 0, 0
 	}
-	if a.waits {
-		b.startTransaction(a.tx)
+	if pending.txWaits {
+		b.startTransaction(pending.tx)
 	}
 }
 
-func (b *Balancer) answered(from int, k PeerEntry, h *host) {
-	b.table.own().misses, b.mute = 0, 0
-	b.unsaid(h) // or a host drawn too late, or not taken, would count as out there
-	a := b.asked(k.Profile)
-	if a == nil {
+func (b *Balancer) remotePickAnswered(from int, response PeerEntry, h *host) {
+	b.hosts.ownGroup().consecutiveUnanswered, b.consecutiveUnansweredPicks = 0, 0
+	b.markUnsent(h) // or a host drawn too late, or not taken, would count as out there
+	pending := b.takePendingPick(response.Profile)
+	if pending == nil {
 		return
 	}
-	b.askTime.add(float64(b.now-a.at), rateSmoothing)
-	switch t := a.tx; {
-	case !a.waits || t.done:
-	case k.Host == 0:
-		b.shed++
+	b.remotePickLatency.add(float64(b.now-pending.sentAt), rateSmoothing)
+	switch t := pending.tx; {
+	case !pending.txWaits || t.done:
+	case response.Host == 0:
+		b.shedThisSecond++
 		b.finishTransaction(t)
 	case h != nil && t.mayRunOn(h, b.now) && b.withinColdBudget(h, t.profile):
-		if !b.draws(h.group) { // else it knows better
-			h.hold(from, max(0, k.InFlight-h.own), b.now)
+		if !b.picksFor(h.group) { // else it knows better
+			h.setPeerInFlight(from, max(0, response.InFlight-h.ownInFlight), b.now)
 		}
 		b.sendHop(t, h)
 	default:
@@ -339,426 +339,430 @@
 	}
 }
 
-func (b *Balancer) PeerMessageReceived(now time.Duration, from int, held []PeerEntry) {
-	b.turn(now)
-	for _, k := range held {
-		switch h := b.table.readyHost(k.Host); {
-		case k.Kind == EntryPickResponse:
-			b.answered(from, k, h)
-		case k.Kind == EntryPickRequest:
-			b.drawFor(from, k)
+func (b *Balancer) PeerMessageReceived(now time.Duration, from int, entries []PeerEntry) {
+	b.beginCall(now)
+	for _, entry := range entries {
+		switch h := b.hosts.readyHost(entry.Host); {
+		case entry.Kind == EntryPickResponse:
+			b.remotePickAnswered(from, entry, h)
+		case entry.Kind == EntryPickRequest:
+			b.answerPickRequest(from, entry)
 		case h == nil:
-		case k.Kind == EntryHopEnded:
-			b.recordOutcome(h, float64(max(1, k.InFlight)), k.Profile, HopResult{k.Outcome, k.Latency, NoLoadReport})
+		case entry.Kind == EntryHopEnded:
+			b.recordOutcome(h, float64(max(1, entry.InFlight)), entry.Profile, HopResult{entry.Outcome, entry.Latency, NoLoadReport})
 		default:
-			if k.Kind == EntryAggregate && k.Latency > 0 { // no time would make it look infinitely fast
-				h.pace.value, h.group.misses = float64(k.Latency)/b.work[k.Profile].value, 0
+			if entry.Kind == EntryAggregate && entry.Latency > 0 { // no time would make it look infinitely fast
+				h.serviceTimeRatio.value, h.group.consecutiveUnanswered = float64(entry.Latency)/b.serviceTime[entry.Profile].value, 0
 			}
-			h.hold(from, k.InFlight, now)
+			h.setPeerInFlight(from, entry.InFlight, now)
 		}
 	}
 }
 
-// drawFor counts the hop as out until more is told.
-func (b *Balancer) drawFor(from int, k PeerEntry) {
-	t := &tx{profile: k.Profile, prof: &b.profiles[k.Profile], home: b.table.group(k.InFlight)}
-	for i := 0; i < b.place.GatewayCount && !b.draws(t.home); i++ {
-		t.home.skip++ // asked, as those before it are silent
+// answerPickRequest counts the hop as out until more is told.
+func (b *Balancer) answerPickRequest(from int, request PeerEntry) {
+	t := &tx{profile: request.Profile, profileConfig: &b.profiles[request.Profile], homeGroup: b.hosts.groupAt(request.InFlight)}
+	for i := 0; i < b.topology.GatewayCount && !b.picksFor(t.homeGroup); i++ {
+		t.homeGroup.skippedCoordinators++ // asked, as those before it are silent
 	}
-	answer := PeerEntry{Kind: EntryPickResponse, Profile: k.Profile}
+	response := PeerEntry{Kind: EntryPickResponse, Profile: request.Profile}
 	if h := b.pickAdmitted(t); h != nil {
-		answer.Host, answer.InFlight = h.ID, h.own+h.others
-		by := either(b.draws(h.group), from, b.drawer(h.group))
-		h.hold(by, h.heldBy[by].hops+1, b.now)
+		response.Host, response.InFlight = h.ID, h.ownInFlight+h.peersInFlight
+		holder := ternary(b.picksFor(h.group), from, b.coordinatorOf(h.group))
+		h.setPeerInFlight(holder, h.inFlightByPeer[holder].hops+1, b.now)
 	}
-	b.out.SendPeerMessage(from, []PeerEntry{answer})
-	if !b.relaying {
-		b.relaying = true
-		b.relay()
+	b.executor.SendPeerMessage(from, []PeerEntry{response})
+	if !b.coordinating {
+		b.coordinating = true
+		b.sendAggregates()
 	}
 }
 
-// asked takes out the first ask for a profile that waits for its answer, nil where none does.
-func (b *Balancer) asked(profile int) *asking {
-	i := slices.IndexFunc(b.asking, func(a *asking) bool { return a.tx.profile == profile })
+// takePendingPick takes out the first ask for a profile that waits for its answer, nil where none does.
+func (b *Balancer) takePendingPick(profile int) *pendingPick {
+	i := slices.IndexFunc(b.pendingPicks, func(pending *pendingPick) bool { return pending.tx.profile == profile })
 	if i < 0 {
 		return nil
 	}
-	a := b.asking[i]
-	b.asking = slices.Delete(b.asking, i, i+1)
-	return a
+	pending := b.pendingPicks[i]
+	b.pendingPicks = slices.Delete(b.pendingPicks, i, i+1)
+	return pending
 }
 
-// alone tells whether this is one of many gateways that learn of each other only by what hosts report.
-func (b *Balancer) alone() bool {
-	return !b.from.PeersShareInFlight && b.place.GatewayCount > maxIndependentGateways
+// manyWithoutPeerMessages tells whether this is one of many gateways that learn of each other only by what hosts report.
+func (b *Balancer) manyWithoutPeerMessages() bool {
+	return !b.sources.PeersShareInFlight && b.topology.GatewayCount > maxIndependentGateways
 }
 
-// told tells whether it learns by reports what others have out at each host.
-func (b *Balancer) told() bool { return b.from.ResponsesReportInFlight && !b.from.PeersShareInFlight }
+// hostsReportInFlight tells whether it learns by reports what others have out at each host.
+func (b *Balancer) hostsReportInFlight() bool {
+	return b.sources.ResponsesReportInFlight && !b.sources.PeersShareInFlight
+}
 
-// sized tells whether it learns by the list what hosts hold, and from nobody else.
-func (b *Balancer) sized() bool { return b.from.CapacityHints == LiveCapacity && b.alone() }
+// usesLiveCapacity tells whether it learns by the list what hosts hold, and from nobody else.
+func (b *Balancer) usesLiveCapacity() bool {
+	return b.sources.CapacityHints == LiveCapacity && b.manyWithoutPeerMessages()
+}
 
-// blind tells whether this is one of many gateways that learn of hosts by the ends of their own hops alone.
-func (b *Balancer) blind() bool {
-	return b.alone() && !b.from.ResponsesReportLoad && !b.from.ProbesReportLoad && b.from.CapacityHints != LiveCapacity
+// hasNoLoadInfo tells whether this is one of many gateways that learn of hosts by the ends of their own hops alone.
+func (b *Balancer) hasNoLoadInfo() bool {
+	return b.manyWithoutPeerMessages() && !b.sources.ResponsesReportLoad && !b.sources.ProbesReportLoad && b.sources.CapacityHints != LiveCapacity
 }
 
-// byZone tells whether it judges zones, as it knows too little of any one host in time.
-func (b *Balancer) byZone() bool { return b.sized() || b.blind() }
+// judgesByZone tells whether it judges zones, as it knows too little of any one host in time.
+func (b *Balancer) judgesByZone() bool { return b.usesLiveCapacity() || b.hasNoLoadInfo() }
 
-// lone tells whether this is one of few that learn of hosts by the ends of their own hops, and by a probe now and then.
-func (b *Balancer) lone() bool {
-	return b.place.GatewayCount <= maxIndependentGateways && !b.from.PeersShareInFlight && !b.from.ResponsesReportLoad
+// fewWithoutReports tells whether this is one of few that learn of hosts by the ends of their own hops, and by a probe now and then.
+func (b *Balancer) fewWithoutReports() bool {
+	return b.topology.GatewayCount <= maxIndependentGateways && !b.sources.PeersShareInFlight && !b.sources.ResponsesReportLoad
 }
 
 // probesOnly tells whether it learns of each host by the ends of its own hops and by probes now and then, and from nobody else.
 func (b *Balancer) probesOnly() bool {
-	return b.from.ProbesReportLoad && !b.from.PeersShareInFlight && !b.from.ResponsesReportLoad && !b.byZone()
+	return b.sources.ProbesReportLoad && !b.sources.PeersShareInFlight && !b.sources.ResponsesReportLoad && !b.judgesByZone()
 }
 
-// feel takes in what a hop took, of what it takes at a free host. What a profile feels those that earn less feel alike; of those that
+// recordLatencyRatio takes in what a hop took, of what it takes at a free host. What a profile feels those that earn less feel alike; of those that
 // earn more it says less, as hosts may see to them first.
-func (b *Balancer) feel(h *host, profile int, r HopResult, hangs bool) {
-	times := float64(r.Latency) / b.usually(profile)
-	switch r.Outcome {
+func (b *Balancer) recordLatencyRatio(h *host, profile int, result HopResult, hostHangs bool) {
+	ratio := float64(result.Latency) / b.referenceTime(profile)
+	switch result.Outcome {
 	case HopCommitted:
 	case HopTimedOut, HopCalledOff:
-		if b.sized() {
+		if b.usesLiveCapacity() {
 			return
 		}
 	case HopHostFull, HopNoConnection:
-		times = rejectionLatencyRatio
+		ratio = rejectionLatencyRatio
 	default:
 		return
 	}
-	h.felt = b.feltAt(h)
-	h.felt, h.feltSince = h.felt+latencyRatioSmoothing*(times-h.felt), b.now
-	if hangs || r.Outcome == HopNoConnection { // the one is that host's alone, the other says nothing of hops that have a connection
+	h.latencyRatio = b.recentLatencyRatio(h)
+	h.latencyRatio, h.latencyRatioAt = h.latencyRatio+latencyRatioSmoothing*(ratio-h.latencyRatio), b.now
+	if hostHangs || result.Outcome == HopNoConnection { // the one is that host's alone, the other says nothing of hops that have a connection
 		return
 	}
-	g, most := h.group, b.maxCongestionSample()
-	for len(g.jams) < len(b.profiles) {
-		g.jams = append(g.jams, jam{value: initialCongestion})
+	g, maxRatio := h.group, b.maxCongestionSample()
+	for len(g.congestion) < len(b.profiles) {
+		g.congestion = append(g.congestion, congestionEstimate{value: initialCongestion})
 	}
-	for i := range g.jams {
-		j := &g.jams[i]
-		step := min(max(1-math.Exp(-float64(b.now-j.at)/float64(congestionTimeConstant)), minCongestionSmoothing), maxCongestionSmoothing)
+	for i := range g.congestion {
+		estimate := &g.congestion[i]
+		smoothing := min(max(1-math.Exp(-float64(b.now-estimate.updatedAt)/float64(congestionTimeConstant)), minCongestionSmoothing), maxCongestionSmoothing)
 		if b.revenueForWork(i) > b.revenueForWork(profile) {
-			step *= higherRevenueSmoothingFactor
+			smoothing *= higherRevenueSmoothingFactor
 		} else {
-			j.at = b.now
+			estimate.updatedAt = b.now
 		}
-		j.value += step * (min(times, most) - j.value)
+		estimate.value += smoothing * (min(ratio, maxRatio) - estimate.value)
 	}
 }
 
-// usually is the time that jams are reckoned by: the first guess, a part of the goal, where a profile takes less.
-func (b *Balancer) usually(profile int) float64 {
-	return max(b.free[profile], initialServiceTimeGoalFraction*float64(b.profiles[profile].ServiceGoal))
+// referenceTime is the time that jams are reckoned by: the first guess, a part of the goal, where a profile takes less.
+func (b *Balancer) referenceTime(profile int) float64 {
+	return max(b.minServiceTime[profile], initialServiceTimeGoalFraction*float64(b.profiles[profile].ServiceGoal))
 }
 
-// feltAt is what hops took at a host of late: one that answers nothing more is forgotten.
-func (b *Balancer) feltAt(h *host) float64 {
-	return 1 + (h.felt-1)*math.Exp(-float64(b.now-h.feltSince)/float64(latencyRatioDecayTime))
+// recentLatencyRatio is what hops took at a host of late: one that answers nothing more is forgotten.
+func (b *Balancer) recentLatencyRatio(h *host) float64 {
+	return 1 + (h.latencyRatio-1)*math.Exp(-float64(b.now-h.latencyRatioAt)/float64(latencyRatioDecayTime))
 }
 
-// jam is what hops take in a zone for a profile, those that are out yet and late included.
-func (b *Balancer) jam(g *group, profile int) float64 {
-	v := initialCongestion
-	if profile < len(g.jams) {
-		v += (g.jams[profile].value - initialCongestion) * math.Exp(-float64(b.now-g.jams[profile].at)/float64(congestionDecayTime))
+// congestion is what hops take in a zone for a profile, those that are out yet and late included.
+func (b *Balancer) congestion(g *zoneGroup, profile int) float64 {
+	value := initialCongestion
+	if profile < len(g.congestion) {
+		value += (g.congestion[profile].value - initialCongestion) * math.Exp(-float64(b.now-g.congestion[profile].updatedAt)/float64(congestionDecayTime))
 	}
-	if b.sized() { // where hosts stand still what is out says nothing of the others, and the list tells of them
-		return v
+	if b.usesLiveCapacity() { // where hosts stand still what is out says nothing of the others, and the list tells of them
+		return value
 	}
-	more := 0.0
+	excess := 0.0
 	for _, t := range b.txs { // in any order: it is a sum
 		for i := range t.hops {
 			k := &t.hops[i]
-			age := float64(b.now-k.at) / b.usually(t.profile) / lateHopAgeDivisor
-			if !k.over && k.host.group == g && age > v && b.revenueForWork(t.profile) >= b.revenueForWork(profile) && !b.suspectedOutlier(t.tenant) {
-				more += lateHopCongestionFraction * (age - v)
+			age := float64(b.now-k.sentAt) / b.referenceTime(t.profile) / lateHopAgeDivisor
+			if !k.ended && k.host.group == g && age > value && b.revenueForWork(t.profile) >= b.revenueForWork(profile) && !b.suspectedOutlier(t.tenant) {
+				excess += lateHopCongestionFraction * (age - value)
 			}
 		}
 	}
-	return v + more
+	return value + excess
 }
 
-// load is what the hosts of a group hold, of that at which their cores are all in use, as far as told; -1 where it is not.
-func (b *Balancer) load(g *group) float64 {
-	if !b.told() || len(g.hosts) == 0 || g.hosts[0].model.knee() == 0 {
+// relativeLoad is what the hosts of a group hold, of that at which their cores are all in use, as far as told; -1 where it is not.
+func (b *Balancer) relativeLoad(g *zoneGroup) float64 {
+	if !b.hostsReportInFlight() || len(g.hosts) == 0 || g.hosts[0].kindStats.concurrencyLimit() == 0 {
 		return -1
 	}
-	return (g.rest.value + 1) / g.hosts[0].model.knee()
+	return (g.reportedInFlight.value + 1) / g.hosts[0].kindStats.concurrencyLimit()
 }
 
-// freshen probes a host in reach that has not told lately what it holds: answers are few, or late in a jam.
-func (b *Balancer) freshen() {
-	b.probes = min(b.probes+probesPerTransaction, maxProbeBurst)
-	for _, g := range b.table.groups {
+// probeStaleHosts probes a host in reach that has not told lately what it holds: answers are few, or late in a jam.
+func (b *Balancer) probeStaleHosts() {
+	b.probeTokens = min(b.probeTokens+probesPerTransaction, maxProbeBurst)
+	for _, g := range b.hosts.groups {
 		for _, h := range g.hosts[:min(b.subsetSize(), len(g.hosts))] {
-			if b.probes >= 1 && !b.isCold(h) && b.now-max(h.restAt, h.probed) > minReportAgeToProbe {
-				h.probed = b.now
-				b.probes--
-				b.out.Probe(h.ID)
+			if b.probeTokens >= 1 && !b.isCold(h) && b.now-max(h.reportedInFlightAt, h.lastProbedAt) > minReportAgeToProbe {
+				h.lastProbedAt = b.now
+				b.probeTokens--
+				b.executor.Probe(h.ID)
 			}
 		}
 	}
 }
 
-// heard takes a report; to one of many it speaks for the zone.
-func (b *Balancer) heard(h *host, l LoadReport) {
-	calm := h.busyAt > 0 && b.now-h.busyAt < observationTTL && math.Abs(l.Utilization-h.busy) < maxSteadyUtilizationChange
-	h.report(l, b.now)
-	if b.told() && l.InFlight >= 0 {
-		h.tells(l, calm, b.now)
-		h.group.rest = average{h.rest, 1}
-	} else if b.alone() && l.Queued >= 0 {
-		h.group.queue.add(l.Queued, shortTermSmoothing)
-		h.work, h.workAt = l.Queued+max(0, l.RequestsPerSecond*l.LatencyMs/1000), b.now
+// recordLoadReport takes a report; to one of many it speaks for the zone.
+func (b *Balancer) recordLoadReport(h *host, load LoadReport) {
+	steady := h.utilizationAt > 0 && b.now-h.utilizationAt < observationTTL && math.Abs(load.Utilization-h.utilization) < maxSteadyUtilizationChange
+	h.recordReportedLoad(load, b.now)
+	if b.hostsReportInFlight() && load.InFlight >= 0 {
+		h.recordReportedInFlight(load, steady, b.now)
+		h.group.reportedInFlight = movingAverage{h.reportedInFlight, 1}
+	} else if b.manyWithoutPeerMessages() && load.Queued >= 0 {
+		h.group.queuedPerHost.add(load.Queued, shortTermSmoothing)
+		h.estimatedInFlight, h.estimatedInFlightAt = load.Queued+max(0, load.RequestsPerSecond*load.LatencyMs/1000), b.now
 	}
 }
 
-// turn begins a call. Where something should have been done long ago the gateway itself stood still until now.
-func (b *Balancer) turn(now time.Duration) {
-	if b.now = now; len(b.due.items) > 0 && now-b.due.items[0].at > stallThreshold {
-		b.still = now
+// beginCall begins a call. Where something should have been done long ago the gateway itself stood still until now.
+func (b *Balancer) beginCall(now time.Duration) {
+	if b.now = now; len(b.timers.entries) > 0 && now-b.timers.entries[0].at > stallThreshold {
+		b.lastStallEnd = now
 	}
 }
 
-// hopOut is a hop that has not ended, nil where none is known.
-func (b *Balancer) hopOut(id TxID, i int) (*tx, *hop) {
+// openHop is a hop that has not ended, nil where none is known.
+func (b *Balancer) openHop(id TxID, hopIndex int) (*tx, *hop) {
 	t := b.txs[id]
-	if t == nil || i < 0 || i >= len(t.hops) || t.hops[i].over {
+	if t == nil || hopIndex < 0 || hopIndex >= len(t.hops) || t.hops[hopIndex].ended {
 		return nil, nil
 	}
-	return t, &t.hops[i]
+	return t, &t.hops[hopIndex]
 }
 
 // HopBodySent counts the hop as out. While the bodies of slow clients came, their hosts looked crowded, or silent, and others were rolled
 // back for it.
-func (b *Balancer) HopBodySent(now time.Duration, id TxID, i int) {
-	b.turn(now)
-	t, k := b.hopOut(id, i)
-	if k == nil || t.weighs > 0 {
+func (b *Balancer) HopBodySent(now time.Duration, id TxID, hopIndex int) {
+	b.beginCall(now)
+	t, k := b.openHop(id, hopIndex)
+	if k == nil || t.hopWeight > 0 {
 		return
 	}
-	t.weighs, t.stop, k.at = 1, t.stop+now-k.at, now
-	if k.host.own++; k.host.own == 1 {
-		k.host.waiting = now
+	t.hopWeight, t.deadline, k.sentAt = 1, t.deadline+now-k.sentAt, now
+	if k.host.ownInFlight++; k.host.ownInFlight == 1 {
+		k.host.unansweredSince = now
 	}
-	k.load = k.host.out()
-	b.unsaid(k.host)
+	k.hostInFlight = k.host.inFlight()
+	b.markUnsent(k.host)
 }
 
 func (b *Balancer) ResponseStarted(now time.Duration, id TxID, _ int) {
-	b.turn(now)
+	b.beginCall(now)
 	if t := b.txs[id]; t != nil {
 		t.done = true
 	}
 }
 
 func (b *Balancer) ClientLeft(now time.Duration, id TxID) {
-	b.turn(now)
+	b.beginCall(now)
 	if t := b.txs[id]; t != nil {
-		b.settle(t)
+		b.settleTransaction(t)
 	}
 }
 
 // AvoidedHosts counts hosts that drain, and those whose breaker for all profiles is open.
-func (b *Balancer) AvoidedHosts() (n int) {
-	for _, h := range b.table.byID { // in any order: it is a sum
-		if h.State == HostDraining || h.State == HostReady && h.whole.open {
-			n++
+func (b *Balancer) AvoidedHosts() (count int) {
+	for _, h := range b.hosts.byID { // in any order: it is a sum
+		if h.State == HostDraining || h.State == HostReady && h.hostBreaker.open {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// close gives back what is idle to a host that drains or is gone, where that is a rule: on being told, and
+// closeIdleIfNotReady gives back what is idle to a host that drains or is gone, where that is a rule: on being told, and
 // as a hop or probe ends there, so that no time has to be kept.
-func (b *Balancer) close(h Host) {
-	if b.drains.CloseIdleConnections && h.State != HostReady {
-		b.out.CloseIdleConnections(h.ID)
+func (b *Balancer) closeIdleIfNotReady(h Host) {
+	if b.drainRule.CloseIdleConnections && h.State != HostReady {
+		b.executor.CloseIdleConnections(h.ID)
 	}
 }
 
-// spread is a time by chance for a call of the list: in step all would be late together.
-func (b *Balancer) spread(usual time.Duration) time.Duration {
-	all := min(max(usual, time.Duration(b.place.GatewayCount)*listPollIntervalPerGateway), b.from.MaxListPollInterval/2)
-	return time.Duration(b.chance.draw() * float64(all))
+// randomListDelay is a time by chance for a call of the list: in step all would be late together.
+func (b *Balancer) randomListDelay(baseDelay time.Duration) time.Duration {
+	maxDelay := min(max(baseDelay, time.Duration(b.topology.GatewayCount)*listPollIntervalPerGateway), b.sources.MaxListPollInterval/2)
+	return time.Duration(b.random.uniform() * float64(maxDelay))
 }
 
-func (b *Balancer) ProbeEnded(now time.Duration, id HostID, l LoadReport) {
-	b.turn(now)
-	switch h := b.table.byID[id]; {
+func (b *Balancer) ProbeEnded(now time.Duration, id HostID, load LoadReport) {
+	b.beginCall(now)
+	switch h := b.hosts.byID[id]; {
 	case h == nil:
 	case h.State == HostReady:
-		b.heard(h, l)
+		b.recordLoadReport(h, load)
 	default:
-		b.close(h.Host)
+		b.closeIdleIfNotReady(h.Host)
 	}
 }
 
-func either[T any](first bool, a, b T) T {
-	if first {
-		return a
+func ternary[T any](condition bool, ifTrue, ifFalse T) T {
+	if condition {
+		return ifTrue
 	}
-	return b
+	return ifFalse
 }
 
-// average is a smoothed value that trusts its first samples.
-type average struct{ value, n float64 }
+// movingAverage is a smoothed value that trusts its first samples.
+type movingAverage struct{ value, samples float64 }
 
-func (a *average) add(x, step float64) {
-	a.n++
-	a.value += max(step, 1/a.n) * (x - a.value)
+func (a *movingAverage) add(sample, smoothing float64) {
+	a.samples++
+	a.value += max(smoothing, 1/a.samples) * (sample - a.value)
 }
 
-func (a average) mean() SmoothedMean { return SmoothedMean{a.value, a.n} }
+func (a movingAverage) export() SmoothedMean { return SmoothedMean{a.value, a.samples} }
 
-func (m SmoothedMean) average() average { return average{m.Value, m.N} }
+func (m SmoothedMean) movingAverage() movingAverage { return movingAverage{m.Value, m.N} }
 
-// dueTimes are kept in order; of equal ones the first added comes first.
-type dueTimes struct {
-	items []dueItem
-	armed time.Duration // when the timer set falls due, 0 for none
+// timerQueue are kept in order; of equal ones the first added comes first.
+type timerQueue struct {
+	entries  []timerEntry
+	armedFor time.Duration // when the timer set falls due, 0 for none
 }
 
-type dueItem struct {
-	at time.Duration
-	do func()
+type timerEntry struct {
+	at  time.Duration
+	run func()
 }
 
-func (d *dueTimes) add(at time.Duration, do func()) {
-	i := len(d.items)
-	for i > 0 && d.items[i-1].at > at {
+func (q *timerQueue) add(at time.Duration, run func()) {
+	i := len(q.entries)
+	for i > 0 && q.entries[i-1].at > at {
 		i--
 	}
-	d.items = slices.Insert(d.items, i, dueItem{at, do})
+	q.entries = slices.Insert(q.entries, i, timerEntry{at, run})
 }
 
-// next takes out the first that is due, nil if none is.
-func (d *dueTimes) next(now time.Duration) func() {
-	if d.armed <= now {
-		d.armed = 0
+// popDue takes out the first that is due, nil if none is.
+func (q *timerQueue) popDue(now time.Duration) func() {
+	if q.armedFor <= now {
+		q.armedFor = 0
 	}
-	if len(d.items) == 0 || d.items[0].at > now {
+	if len(q.entries) == 0 || q.entries[0].at > now {
 		return nil
 	}
-	do := d.items[0].do
-	d.items = slices.Delete(d.items, 0, 1)
-	return do
+	run := q.entries[0].run
+	q.entries = slices.Delete(q.entries, 0, 1)
+	return run
 }
 
 // arm sets a timer for the first, unless one that is set is soon enough.
-func (d *dueTimes) arm(now time.Duration, set func(time.Duration)) {
-	if first := max(d.items[0].at, now+1); d.armed == 0 || first < d.armed {
-		d.armed = first
-		set(first - now)
+func (q *timerQueue) arm(now time.Duration, setTimer func(time.Duration)) {
+	if first := max(q.entries[0].at, now+1); q.armedFor == 0 || first < q.armedFor {
+		q.armedFor = first
+		setTimer(first - now)
 	}
 }
 
-// at has something done at its time; the one timer is set for the first of these.
-func (b *Balancer) at(when time.Duration, do func()) {
-	b.due.add(when, do)
-	b.due.arm(b.now, b.out.SetTimer)
+// schedule has something done at its time; the one timer is set for the first of these.
+func (b *Balancer) schedule(at time.Duration, run func()) {
+	b.timers.add(at, run)
+	b.timers.arm(b.now, b.executor.SetTimer)
 }
 
 func (b *Balancer) TimerFired(now time.Duration) {
-	b.turn(now)
-	for do := b.due.next(now); do != nil; do = b.due.next(now) {
-		do()
+	b.beginCall(now)
+	for run := b.timers.popDue(now); run != nil; run = b.timers.popDue(now) {
+		run()
 	}
-	b.due.arm(now, b.out.SetTimer)
+	b.timers.arm(now, b.executor.SetTimer)
 }
 
-// chance gives the same draws for the same seed.
-type chance struct{ seed, draws uint32 }
+// randomSource gives the same draws for the same seed.
+type randomSource struct{ seed, drawCount uint32 }
 
-// next counts one draw.
-func (c *chance) next() uint32 {
-	c.draws++
-	return c.draws - 1
+// reserve counts one draw.
+func (r *randomSource) reserve() uint32 {
+	r.drawCount++
+	return r.drawCount - 1
 }
 
-// draw is even over [0, 1).
-func (c *chance) draw() float64 {
-	c.draws++
-	sum := ^c.seed
-	for mixed, i := uint64(c.draws)*uint64(c.seed|1), 0; i < 8; i++ {
-		sum = crc32.IEEETable[byte(sum)^byte(mixed)] ^ sum>>8
-		mixed >>= 8
+// uniform is even over [0, 1).
+func (r *randomSource) uniform() float64 {
+	r.drawCount++
+	crc := ^r.seed
+	for bits, i := uint64(r.drawCount)*uint64(r.seed|1), 0; i < 8; i++ {
+		crc = crc32.IEEETable[byte(crc)^byte(bits)] ^ crc>>8
+		bits >>= 8
 	}
-	return float64(^sum) / (1 << 32)
+	return float64(^crc) / (1 << 32)
 }
 
-type table struct {
-	byID    map[HostID]*host
-	models  map[string]*model
-	ready   []*host  // by id
-	young   []*host  // those of which a start is known
-	groups  []*group // the own one first
-	largest float64  // size that a list has told of a host
-	lost    int      // calls for the list lost in a row
-	ranks   uint32   // seed of the order in which this gateway takes hosts
+type hostTable struct {
+	byID                    map[HostID]*host
+	kinds                   map[string]*kindStats
+	ready                   []*host      // by id
+	startKnown              []*host      // those of which a start is known
+	groups                  []*zoneGroup // the own one first
+	maxCapacityHint         float64      // size that a list has told of a host
+	consecutiveListFailures int          // calls for the list lost in a row
+	rankSeed                uint32       // seed of the order in which this gateway takes hosts
 }
 
-func (t *table) addGroups(p Topology) {
-	zones := p.Zones
+func (t *hostTable) addGroups(topology Topology) {
+	zones := topology.Zones
 	if len(zones) == 0 {
-		zones = []string{p.Zone}
+		zones = []string{topology.Zone}
 	}
-	own := max(0, slices.Index(zones, p.Zone))
+	ownIndex := max(0, slices.Index(zones, topology.Zone))
 	for i := range zones {
-		at := (own + i) % len(zones)
-		t.groups = append(t.groups, &group{zone: zones[at], index: at, jam: average{1, 1 / queueingRatioSmoothing}})
+		index := (ownIndex + i) % len(zones)
+		t.groups = append(t.groups, &zoneGroup{name: zones[index], index: index, queueingRatio: movingAverage{1, 1 / queueingRatioSmoothing}})
 	}
 	for i, g := range t.groups {
-		g.order = append(append(append(g.order, g), t.groups[:i]...), t.groups[i+1:]...)
+		g.searchOrder = append(append(append(g.searchOrder, g), t.groups[:i]...), t.groups[i+1:]...)
 	}
 }
 
 // readyHost is nil where a host is not known or not ready.
-func (t *table) readyHost(id HostID) *host {
+func (t *hostTable) readyHost(id HostID) *host {
 	if h := t.byID[id]; h != nil && h.State == HostReady {
 		return h
 	}
 	return nil
 }
 
-func (t *table) own() *group { return t.groups[0] }
+func (t *hostTable) ownGroup() *zoneGroup { return t.groups[0] }
 
-// errsElsewhere is the mean share of errors at the hosts that are not barred, but for one: that one's own say nothing of what
+// errorFractionElsewhere is the mean share of errors at the hosts that are not barred, but for one: that one's own say nothing of what
 // is usual. Where any told anything since then, only such hosts count: those that get no hops err on none.
-func (t *table) errsElsewhere(than *host, since time.Duration) float64 {
-	var mean, all average
+func (t *hostTable) errorFractionElsewhere(except *host, since time.Duration) float64 {
+	var recent, all movingAverage
 	for _, h := range t.ready {
-		if h != than && !h.whole.open {
-			all.add(h.whole.share, 0)
-			if h.waiting > max(0, since) {
-				mean.add(h.whole.share, 0)
+		if h != except && !h.hostBreaker.open {
+			all.add(h.hostBreaker.errorFraction, 0)
+			if h.unansweredSince > max(0, since) {
+				recent.add(h.hostBreaker.errorFraction, 0)
 			}
 		}
 	}
-	return either(mean.n > 0, mean, all).value
+	return ternary(recent.samples > 0, recent, all).value
 }
 
-// failsBeside is the share of failures that a profile's at a host is compared with: the largest of other profiles there that were
+// referenceFailureFraction is the share of failures that a profile's at a host is compared with: the largest of other profiles there that were
 // answered last, or the lower quartile of its own at other hosts if that is more. Only what was answered since then counts, and where its own
 // failed last; it is 1 where there is nothing to compare with.
-func (t *table) failsBeside(h *host, profile int, since time.Duration) float64 {
+func (t *hostTable) referenceFailureFraction(h *host, profile int, since time.Duration) float64 {
 	var here, elsewhere []float64
-	for i := range h.by {
-		if k := &h.by[i]; i != profile && k.row == 0 && k.since > since {
-			here = append(here, float64(k.fails))
+	for i := range h.profileBreakers {
+		if k := &h.profileBreakers[i]; i != profile && k.consecutiveFailures == 0 && k.streakSince > since {
+			here = append(here, float64(k.failureFraction))
 		}
 	}
 	for _, other := range t.ready {
-		if k := &other.by[profile]; other != h && (k.row > 0 || k.since > since) {
-			elsewhere = append(elsewhere, float64(k.fails))
+		if k := &other.profileBreakers[profile]; other != h && (k.consecutiveFailures > 0 || k.streakSince > since) {
+			elsewhere = append(elsewhere, float64(k.failureFraction))
 		}
 	}
 	if len(here) == 0 || len(elsewhere) == 0 {
@@ -768,105 +772,105 @@
 	return max(slices.Max(here), elsewhere[len(elsewhere)/4])
 }
 
-// group is the one of that index among the zones, the own one where there is none.
-func (t *table) group(index int) *group {
+// groupAt is the one of that index among the zones, the own one where there is none.
+func (t *hostTable) groupAt(index int) *zoneGroup {
 	for _, g := range t.groups {
 		if g.index == index {
 			return g
 		}
 	}
-	return t.own()
+	return t.ownGroup()
 }
 
 // rank is a host's place in the order of this gateway, the same for all where it keeps to no order of its own.
-func (t *table) rank(id HostID) float64 {
-	return either(t.ranks == 0, &chance{}, &chance{t.ranks, uint32(id)}).draw()
+func (t *hostTable) rank(id HostID) float64 {
+	return ternary(t.rankSeed == 0, &randomSource{}, &randomSource{t.rankSeed, uint32(id)}).uniform()
 }
 
 // merge takes a list in and returns the hosts that are new or have started again.
-func (t *table) merge(kind ListKind, hosts []Host, leaves func(*host) bool) (fresh []*host) {
+func (t *hostTable) merge(kind ListKind, listed []Host, isGone func(*host) bool) (added []*host) {
 	if kind != ListCached {
-		t.lost = 0
+		t.consecutiveListFailures = 0
 	}
-	moved := kind != ListChanges // whether any comes, goes or begins anew: else only sizes have changed
-	if moved {
+	membershipChanged := kind != ListChanges // whether any comes, goes or begins anew: else only sizes have changed
+	if membershipChanged {
 		for _, h := range t.byID { // in any order: each is its own
-			h.State = either(leaves(h), HostGone, h.State)
+			h.State = ternary(isGone(h), HostGone, h.State)
 		}
 	}
-	for i := range hosts {
-		entry := &hosts[i]
+	for i := range listed {
+		entry := &listed[i]
 		h := t.byID[entry.ID]
-		moved = moved || h == nil || entry.State != h.State || entry.Zone != h.Zone
+		membershipChanged = membershipChanged || h == nil || entry.State != h.State || entry.Zone != h.Zone
 		if h == nil || entry.State == HostReady && h.StartedAt != entry.StartedAt {
 			if h == nil {
 				h = &host{rank: t.rank(entry.ID)}
 				t.byID[entry.ID] = h
 			}
-			fresh = append(fresh, h)
+			added = append(added, h)
 		}
-		if h.model == nil || h.Kind != entry.Kind {
-			if h.model = t.models[entry.Kind]; h.model == nil {
-				h.model = &model{}
-				t.models[entry.Kind] = h.model
+		if h.kindStats == nil || h.Kind != entry.Kind {
+			if h.kindStats = t.kinds[entry.Kind]; h.kindStats == nil {
+				h.kindStats = &kindStats{}
+				t.kinds[entry.Kind] = h.kindStats
 			}
 		}
-		if entry.State == HostGone && !leaves(h) {
+		if entry.State == HostGone && !isGone(h) {
 			continue
 		}
 		h.Host = *entry
-		h.model.size = max(h.model.size, entry.CapacityHint)
-		t.largest = max(t.largest, entry.CapacityHint)
+		h.kindStats.maxCapacityHint = max(h.kindStats.maxCapacityHint, entry.CapacityHint)
+		t.maxCapacityHint = max(t.maxCapacityHint, entry.CapacityHint)
 	}
-	if moved {
-		t.arrange()
+	if membershipChanged {
+		t.rebuildGroups()
 	}
-	return fresh
+	return added
 }
 
-// holds takes in what hosts hold for each core, by the sizes that a list gives, and tells the mean over all.
-func (t *table) holds(listed []Host) (all average) {
+// updateInFlightPerCore takes in what hosts hold for each core, by the sizes that a list gives, and tells the mean over all.
+func (t *hostTable) updateInFlightPerCore(listed []Host) (overall movingAverage) {
 	for i := range listed {
 		if h := t.readyHost(listed[i].ID); h != nil && listed[i].CapacityHint > 0 {
-			h.rest = h.model.size/listed[i].CapacityHint - 1
+			h.reportedInFlight = h.kindStats.maxCapacityHint/listed[i].CapacityHint - 1
 		}
 	}
-	for _, m := range t.models { // in any order: each is its own
-		m.rest = average{}
+	for _, m := range t.kinds { // in any order: each is its own
+		m.inFlightPerCore = movingAverage{}
 	}
 	for _, g := range t.groups {
-		g.rest = average{}
+		g.reportedInFlight = movingAverage{}
 		for _, h := range g.hosts {
-			for _, mean := range []*average{&all, &g.rest, &h.model.rest} {
-				mean.add(h.rest, 0)
+			for _, mean := range []*movingAverage{&overall, &g.reportedInFlight, &h.kindStats.inFlightPerCore} {
+				mean.add(h.reportedInFlight, 0)
 			}
 		}
 	}
-	return all
+	return overall
 }
 
-// rates takes in what a warm host of each kind did for this gateway within the last second.
-func (t *table) rates(cold func(*host) bool) {
-	for _, m := range t.models { // in any order: each is its own
-		if m.warm > 0 {
-			m.rate.add(m.done/m.warm, rateSmoothing)
+// updateAnswerRates takes in what a warm host of each kind did for this gateway within the last second.
+func (t *hostTable) updateAnswerRates(isCold func(*host) bool) {
+	for _, m := range t.kinds { // in any order: each is its own
+		if m.warmHosts > 0 {
+			m.answersPerSecond.add(m.answersThisSecond/m.warmHosts, rateSmoothing)
 		}
-		m.done, m.warm = 0, 0
+		m.answersThisSecond, m.warmHosts = 0, 0
 	}
 	for _, h := range t.ready {
-		h.model.warm += either(cold(h), 0.0, 1)
+		h.kindStats.warmHosts += ternary(isCold(h), 0.0, 1)
 	}
 }
 
-// arrange puts the hosts that are ready into their groups.
-func (t *table) arrange() {
-	t.ready, t.young = t.ready[:0], t.young[:0]
+// rebuildGroups puts the hosts that are ready into their groups.
+func (t *hostTable) rebuildGroups() {
+	t.ready, t.startKnown = t.ready[:0], t.startKnown[:0]
 	for _, g := range t.groups {
 		g.hosts = g.hosts[:0]
 	}
 	for _, id := range slices.Sorted(maps.Keys(t.byID)) {
 		h := t.byID[id]
-		i := slices.IndexFunc(t.groups, func(g *group) bool { return g.zone == h.Zone })
+		i := slices.IndexFunc(t.groups, func(g *zoneGroup) bool { return g.name == h.Zone })
 		if i < 0 {
 			h.State = HostGone // in no zone that is known
 		}
@@ -874,9 +878,9 @@
 			h.group = t.groups[i]
 			t.ready, h.group.hosts = append(t.ready, h), append(h.group.hosts, h)
 			if h.StartedAt > 0 {
-				t.young = append(t.young, h)
+				t.startKnown = append(t.startKnown, h)
 			}
-		} else if h.State == HostGone && h.own == 0 {
+		} else if h.State == HostGone && h.ownInFlight == 0 {
 			delete(t.byID, id)
 		}
 	}
@@ -885,360 +889,366 @@
 	}
 }
 
-// model is what like hosts show.
-type model struct {
-	weight     float64 // times that of each host, where the list tells what they hold
-	rest       average // held for each core there, ditto
-	size       float64 // the largest that the list has told of one: what one that holds nothing is
-	done       float64 // answers of warm hosts of this kind within the last second
-	warm       float64 // these hosts
-	rate       average // answers of each a second
-	places     average // hops in work at a full host, where reports show it
-	usual      average // hops there, where hosts report these and utilisation
-	held       average // those up to the usual ones, when cores are free
-	busy       average // and the utilisation then
-	overloaded bool    // one of these hosts was: how many hops they take is no guess then
-	pace       average // times the usual time of a profile
+// kindStats is what like hosts show.
+type kindStats struct {
+	weight               float64       // times that of each host, where the list tells what they hold
+	inFlightPerCore      movingAverage // held for each core there, ditto
+	maxCapacityHint      float64       // the largest that the list has told of one: what one that holds nothing is
+	answersThisSecond    float64       // answers of warm hosts of this kind within the last second
+	warmHosts            float64       // these hosts
+	answersPerSecond     movingAverage // answers of each a second
+	slots                movingAverage // hops in work at a full host, where reports show it
+	meanInFlight         movingAverage // hops there, where hosts report these and utilisation
+	uncrowdedInFlight    movingAverage // those up to the usual ones, when cores are free
+	uncrowdedUtilization movingAverage // and the utilisation then
+	overloaded           bool          // one of these hosts was: how many hops they take is no guess then
+	serviceTimeRatio     movingAverage // times the usual time of a profile
 }
 
-// group is the hosts of one zone.
-type group struct {
-	zone      string
-	index     int // among the zones
-	hosts     []*host
-	order     []*group      // this one and then the others
-	queue     average       // hops waiting at a host here, where answers report it to one of many
-	rest      average       // hops of other gateways at a host here, where answers report what is held to one of many
-	jam       average       // what answers here take, crowds aside, of the least
-	leave     float64       // part of its traffic that goes to others, where the list tells what hosts hold
-	room      float64       // hosts here, those counted less that hold much, ditto
-	meets     float64       // held for each core at the hosts that hops go to, ditto
-	jams      []jam         // by profile, what hops take here, where nothing tells of hosts
-	pressed   float64       // part of its transactions that is rolled back, where the list tells what hosts hold
-	pressedAt time.Duration // when that was last reckoned
-	skip      int           // those that drew here and were given up as silent
-	misses    int           // answers in a row that did not come
+// zoneGroup is the hosts of one zone.
+type zoneGroup struct {
+	name                  string
+	index                 int // among the zones
+	hosts                 []*host
+	searchOrder           []*zoneGroup         // this one and then the others
+	queuedPerHost         movingAverage        // hops waiting at a host here, where answers report it to one of many
+	reportedInFlight      movingAverage        // hops of other gateways at a host here, where answers report what is held to one of many
+	queueingRatio         movingAverage        // what answers here take, crowds aside, of the least
+	spilloverFraction     float64              // part of its traffic that goes to others, where the list tells what hosts hold
+	effectiveHosts        float64              // hosts here, those counted less that hold much, ditto
+	inFlightAtTargets     float64              // held for each core at the hosts that hops go to, ditto
+	congestion            []congestionEstimate // by profile, what hops take here, where nothing tells of hosts
+	shedFraction          float64              // part of its transactions that is rolled back, where the list tells what hosts hold
+	shedUpdatedAt         time.Duration        // when that was last reckoned
+	skippedCoordinators   int                  // those that drew here and were given up as silent
+	consecutiveUnanswered int                  // answers in a row that did not come
 }
 
-// missed counts answers that did not come, and goes on to the next drawer after most in a row.
-func (g *group) missed(answers, most int) {
-	if g.misses += answers; g.misses >= most {
-		g.skip, g.misses = g.skip+1, 0
+// recordUnanswered counts answers that did not come, and goes on to the next drawer after most in a row.
+func (g *zoneGroup) recordUnanswered(count, maxConsecutive int) {
+	if g.consecutiveUnanswered += count; g.consecutiveUnanswered >= maxConsecutive {
+		g.skippedCoordinators, g.consecutiveUnanswered = g.skippedCoordinators+1, 0
 	}
 }
 
-// jam is smoothed, with the time of its last answer.
-type jam struct {
-	value float64
-	at    time.Duration
+// congestionEstimate is smoothed, with the time of its last answer.
+type congestionEstimate struct {
+	value     float64
+	updatedAt time.Duration
 }
 
-type heldBy struct {
-	hops int
-	at   time.Duration
+type peerInFlight struct {
+	hops       int
+	receivedAt time.Duration
 }
 
 type host struct {
 	Host
-	own     int // hops of this gateway out
-	group   *group
-	model   *model
-	others  int            // hops of the other gateways out, as told
-	heldBy  map[int]heldBy // the same by the gateway that told
-	said    int            // own hops out as last told
-	again   bool           // to be told of once more
-	unsaid  bool           // to be told of soon
-	proving bool           // nothing has come yet on its connection, new or unused for long
-	rank    float64        // its place in the order in which this gateway takes hosts
-	used    time.Duration  // when a hop last went there, 0 once its connections are given back
-	unmade  time.Duration  // until when no new connection is tried, as one could not be made
-	ends    []PeerEntry    // how own hops ended, not yet told
+	ownInFlight        int // hops of this gateway out
+	group              *zoneGroup
+	kindStats          *kindStats
+	peersInFlight      int                  // hops of the other gateways out, as told
+	inFlightByPeer     map[int]peerInFlight // the same by the gateway that told
+	lastSentInFlight   int                  // own hops out as last told
+	resend             bool                 // to be told of once more
+	unsent             bool                 // to be told of soon
+	connectionUnproven bool                 // nothing has come yet on its connection, new or unused for long
+	rank               float64              // its place in the order in which this gateway takes hosts
+	lastUsedAt         time.Duration        // when a hop last went there, 0 once its connections are given back
+	noConnectUntil     time.Duration        // until when no new connection is tried, as one could not be made
+	unsentOutcomes     []PeerEntry          // how own hops ended, not yet told
 	health
-	sent []time.Duration // hops within the last TipAfter while cold
+	coldHopTimes []time.Duration // hops within the last TipAfter while cold
 }
 
 type health struct {
-	weight    float64
-	fresh     bool          // an answer since the last second
-	bad       bool          // a failure, full answer or time-out since the last slow tick
-	pace      average       // times the usual time of a profile, with a core free
-	lat       average       // time of an answer, waits included
-	busy      float64       // reported utilisation
-	busyAt    time.Duration // when that came, 0 for never
-	probed    time.Duration // when last probed beside answers
-	rest      float64       // hops of other gateways there, as it last reported
-	restAt    time.Duration // when that came
-	felt      float64       // what hops took here of late, of what they take at a free host
-	feltSince time.Duration // when that was
-	work      float64       // hops that wait or are worked on there, by its queue, rate and time
-	workAt    time.Duration // when that came
-	lean      float64       // times the weight, until the list tells anew what hosts hold
-	paced     time.Duration // when an answer or time-out last said something of its pace
-	waiting   time.Duration // since when hops are out without any answer, if any are
-	whole     breaker
-	by        []breaker // by profile
-}
-
-func (h *host) breakers(profile int) []*breaker { return []*breaker{&h.whole, &h.by[profile]} }
-
-// report takes in what a host says of its load.
-func (h *host) report(l LoadReport, now time.Duration) {
-	if l.Utilization >= 0 {
-		h.busy, h.busyAt = l.Utilization, now
-	}
-	if p := &h.model.places; l.Queued > 0 && l.InFlight > 0 {
-		p.add(max(1, l.InFlight-l.Queued), shortTermSmoothing)
-	} else if l.Queued == 0 {
-		p.value = max(p.value, l.InFlight)
-	}
-}
-
-// knee is the hops at which all cores of such a host are in use, 0 where that is not known.
-func (m *model) knee() float64 { return either(m.busy.n > 0, m.held.value/m.busy.value, 0) }
-
-// tells takes in what others have out at the host, and what its like hold as their cores fill. That only while the load is
+	weight              float64
+	answeredThisSecond  bool          // an answer since the last second
+	failedThisSecond    bool          // a failure, full answer or time-out since the last slow tick
+	serviceTimeRatio    movingAverage // times the usual time of a profile, with a core free
+	latency             movingAverage // time of an answer, waits included
+	utilization         float64       // reported utilisation
+	utilizationAt       time.Duration // when that came, 0 for never
+	lastProbedAt        time.Duration // when last probed beside answers
+	reportedInFlight    float64       // hops of other gateways there, as it last reported
+	reportedInFlightAt  time.Duration // when that came
+	latencyRatio        float64       // what hops took here of late, of what they take at a free host
+	latencyRatioAt      time.Duration // when that was
+	estimatedInFlight   float64       // hops that wait or are worked on there, by its queue, rate and time
+	estimatedInFlightAt time.Duration // when that came
+	spreadFactor        float64       // times the weight, until the list tells anew what hosts hold
+	serviceTimeRatioAt  time.Duration // when an answer or time-out last said something of its pace
+	unansweredSince     time.Duration // since when hops are out without any answer, if any are
+	hostBreaker         breaker
+	profileBreakers     []breaker // by profile
+}
+
+func (h *host) breakers(profile int) []*breaker {
+	return []*breaker{&h.hostBreaker, &h.profileBreakers[profile]}
+}
+
+// recordReportedLoad takes in what a host says of its load.
+func (h *host) recordReportedLoad(load LoadReport, now time.Duration) {
+	if load.Utilization >= 0 {
+		h.utilization, h.utilizationAt = load.Utilization, now
+	}
+	if slots := &h.kindStats.slots; load.Queued > 0 && load.InFlight > 0 {
+		slots.add(max(1, load.InFlight-load.Queued), shortTermSmoothing)
+	} else if load.Queued == 0 {
+		slots.value = max(slots.value, load.InFlight)
+	}
+}
+
+// concurrencyLimit is the hops at which all cores of such a host are in use, 0 where that is not known.
+func (m *kindStats) concurrencyLimit() float64 {
+	return ternary(m.uncrowdedUtilization.samples > 0, m.uncrowdedInFlight.value/m.uncrowdedUtilization.value, 0)
+}
+
+// recordReportedInFlight takes in what others have out at the host, and what its like hold as their cores fill. That only while the load is
 // calm: utilisation is of a time, what is held of its end, and as a day began the knee came out at three to six times its
 // value, so that hosts were buried in the first second.
-func (h *host) tells(l LoadReport, calm bool, now time.Duration) {
-	h.rest, h.restAt = max(0, l.InFlight-float64(h.own)), now
-	m := h.model
-	if m.held.n == 0 {
-		m.held, m.busy = average{initialConcurrencyLimit / 2, concurrencyLimitPriorSamples}, average{0.5, concurrencyLimitPriorSamples}
-	}
-	if l.Utilization > 0 && l.InFlight >= 1 {
-		if m.usual.add(l.InFlight, mediumTermSmoothing); l.InFlight <= m.usual.value && l.Utilization < maxConcurrencyLimitUtilization && calm {
-			m.held.add(l.InFlight, mediumTermSmoothing)
-			m.busy.add(l.Utilization, mediumTermSmoothing)
+func (h *host) recordReportedInFlight(load LoadReport, steady bool, now time.Duration) {
+	h.reportedInFlight, h.reportedInFlightAt = max(0, load.InFlight-float64(h.ownInFlight)), now
+	stats := h.kindStats
+	if stats.uncrowdedInFlight.samples == 0 {
+		stats.uncrowdedInFlight, stats.uncrowdedUtilization = movingAverage{initialConcurrencyLimit / 2, concurrencyLimitPriorSamples}, movingAverage{0.5, concurrencyLimitPriorSamples}
+	}
+	if load.Utilization > 0 && load.InFlight >= 1 {
+		if stats.meanInFlight.add(load.InFlight, mediumTermSmoothing); load.InFlight <= stats.meanInFlight.value && load.Utilization < maxConcurrencyLimitUtilization && steady {
+			stats.uncrowdedInFlight.add(load.InFlight, mediumTermSmoothing)
+			stats.uncrowdedUtilization.add(load.Utilization, mediumTermSmoothing)
 		}
 	}
 }
 
-func (h *host) learnPace(p float64) {
-	h.model.pace.add(p, mediumTermSmoothing)
-	h.pace.add(p, shortTermSmoothing)
+func (h *host) recordServiceTimeRatio(ratio float64) {
+	h.kindStats.serviceTimeRatio.add(ratio, mediumTermSmoothing)
+	h.serviceTimeRatio.add(ratio, shortTermSmoothing)
 }
 
-// settlePaces keeps paces around 1. One not heard of gets no hops to show it well: it goes to its like's.
-func (b *Balancer) settlePaces() {
-	mean, own := average{1, 0}, []*host{}
-	for _, h := range b.table.ready {
-		if b.draws(h.group) { // others' paces are told
-			mean.add(h.pace.value, 0)
-			own = append(own, h)
+// normalizeServiceTimeRatios keeps paces around 1. One not heard of gets no hops to show it well: it goes to its like's.
+func (b *Balancer) normalizeServiceTimeRatios() {
+	mean, ownHosts := movingAverage{1, 0}, []*host{}
+	for _, h := range b.hosts.ready {
+		if b.picksFor(h.group) { // others' paces are told
+			mean.add(h.serviceTimeRatio.value, 0)
+			ownHosts = append(ownHosts, h)
 		}
 	}
-	seldom := b.told() || b.lone() || b.sized() // a few short answers are not the least time
-	for i := range b.work {
-		w := &b.work[i]
-		if w.n-b.was[i] > priorServiceTimeRatioSamples { // the time of one rolled back each time would drift away
-			w.value *= mean.value
+	useLongTerm := b.hostsReportInFlight() || b.fewWithoutReports() || b.usesLiveCapacity() // a few short answers are not the least time
+	for i := range b.serviceTime {
+		serviceTime := &b.serviceTime[i]
+		if serviceTime.samples-b.previousSamples[i] > priorServiceTimeRatioSamples { // the time of one rolled back each time would drift away
+			serviceTime.value *= mean.value
 		}
-		b.was[i] = w.n
+		b.previousSamples[i] = serviceTime.samples
 		// Where gateways tell, a jam is in the crowd and does not raise the work. What stays so long although next to nothing is
 		// taken is no jam, but what a profile takes.
-		b.free[i] *= 1 + either(b.blind() && b.jam(b.table.own(), i) >= congestionShedRampEnd, congestedMinServiceTimeRisePerSecond, minServiceTimeRisePerSecond)
-		usual, step := *w, mediumTermSmoothing
-		if seldom {
-			usual, step = b.slow[i], longTermSmoothing
+		b.minServiceTime[i] *= 1 + ternary(b.hasNoLoadInfo() && b.congestion(b.hosts.ownGroup(), i) >= congestionShedRampEnd, congestedMinServiceTimeRisePerSecond, minServiceTimeRisePerSecond)
+		typical, smoothing := *serviceTime, mediumTermSmoothing
+		if useLongTerm {
+			typical, smoothing = b.longTermServiceTime[i], longTermSmoothing
 		}
 		switch {
-		case usual.n == 0: // or what is never answered would yield to nothing, and all others to it
-		case usual.n*step < 1 && !b.from.PeersShareInFlight && (seldom || usual.value >= b.free[i]): // begun in a jam?
-			b.free[i] = min(usual.value, initialServiceTimeGoalFraction*float64(b.profiles[i].ServiceGoal))
-		case b.from.PeersShareInFlight || usual.value < b.free[i]:
-			b.free[i] = usual.value
+		case typical.samples == 0: // or what is never answered would yield to nothing, and all others to it
+		case typical.samples*smoothing < 1 && !b.sources.PeersShareInFlight && (useLongTerm || typical.value >= b.minServiceTime[i]): // begun in a jam?
+			b.minServiceTime[i] = min(typical.value, initialServiceTimeGoalFraction*float64(b.profiles[i].ServiceGoal))
+		case b.sources.PeersShareInFlight || typical.value < b.minServiceTime[i]:
+			b.minServiceTime[i] = typical.value
 		}
 	}
-	for _, m := range b.table.models {
-		m.pace.value = max(m.pace.value/mean.value, minServiceTimeRatio)
+	for _, m := range b.hosts.kinds {
+		m.serviceTimeRatio.value = max(m.serviceTimeRatio.value/mean.value, minServiceTimeRatio)
 	}
-	for _, h := range own {
-		if h.pace.value /= mean.value; b.now-h.paced > observationTTL && h.model.pace.n > 0 {
-			h.pace.value += excessDecayPerSecond * (h.model.pace.value - h.pace.value)
+	for _, h := range ownHosts {
+		if h.serviceTimeRatio.value /= mean.value; b.now-h.serviceTimeRatioAt > observationTTL && h.kindStats.serviceTimeRatio.samples > 0 {
+			h.serviceTimeRatio.value += excessDecayPerSecond * (h.kindStats.serviceTimeRatio.value - h.serviceTimeRatio.value)
 		}
 	}
 }
 
-// closed tells whether neither breaker is open.
-func (h *host) closed(profile int) bool { return !h.whole.open && !h.by[profile].open }
+// breakersClosed tells whether neither breaker is open.
+func (h *host) breakersClosed(profile int) bool {
+	return !h.hostBreaker.open && !h.profileBreakers[profile].open
+}
 
-// overloaded tells whether overload opened a breaker that is open.
-func (h *host) overloaded(profile int) bool {
-	return slices.ContainsFunc(h.breakers(profile), func(k *breaker) bool { return k.open && k.overload })
+// openedByOverload tells whether overload opened a breaker that is open.
+func (h *host) openedByOverload(profile int) bool {
+	return slices.ContainsFunc(h.breakers(profile), func(k *breaker) bool { return k.open && k.openedByOverload })
 }
 
-// dueBy is when all its open breakers are due for a trial.
-func (h *host) dueBy(profile int) (by time.Duration) {
+// trialDueAt is when all its open breakers are due for a trial.
+func (h *host) trialDueAt(profile int) (dueAt time.Duration) {
 	for _, k := range h.breakers(profile) {
 		if k.open {
-			by = max(by, k.until)
+			dueAt = max(dueAt, k.nextTrialAt)
 		}
 	}
-	return by
+	return dueAt
 }
 
-// try marks its open breakers as on trial, and when the next is due.
-func (h *host) try(profile int, next time.Duration) {
+// startTrial marks its open breakers as on trial, and when the next is due.
+func (h *host) startTrial(profile int, nextTrialAt time.Duration) {
 	for _, k := range h.breakers(profile) {
 		if k.open {
-			k.trying, k.until = true, next
+			k.onTrial, k.nextTrialAt = true, nextTrialAt
 		}
 	}
 }
 
-// out is all hops there, as far as known.
-func (h *host) out() float64 {
-	return float64(h.own+h.others) + either(h.restAt > 0, h.rest, h.group.rest.value+h.group.queue.value)
+// inFlight is all hops there, as far as known.
+func (h *host) inFlight() float64 {
+	return float64(h.ownInFlight+h.peersInFlight) + ternary(h.reportedInFlightAt > 0, h.reportedInFlight, h.group.reportedInFlight.value+h.group.queuedPerHost.value)
 }
 
-// hold counts what another gateway has out.
-func (h *host) hold(from, hops int, now time.Duration) {
-	if h.own+h.others == 0 {
-		h.waiting = now
+// setPeerInFlight counts what another gateway has out.
+func (h *host) setPeerInFlight(gateway, hops int, now time.Duration) {
+	if h.ownInFlight+h.peersInFlight == 0 {
+		h.unansweredSince = now
 	}
-	if h.heldBy == nil {
-		h.heldBy = map[int]heldBy{}
+	if h.inFlightByPeer == nil {
+		h.inFlightByPeer = map[int]peerInFlight{}
 	}
-	h.others += hops - h.heldBy[from].hops
-	h.heldBy[from] = heldBy{hops, now}
+	h.peersInFlight += hops - h.inFlightByPeer[gateway].hops
+	h.inFlightByPeer[gateway] = peerInFlight{hops, now}
 }
 
-// expire forgets what was told before since.
-func (h *host) expire(since time.Duration) {
-	for from, k := range h.heldBy { // in any order: it is a sum
-		if k.at < since {
-			h.others -= k.hops
-			delete(h.heldBy, from)
+// expirePeerInFlight forgets what was told before since.
+func (h *host) expirePeerInFlight(before time.Duration) {
+	for gateway, k := range h.inFlightByPeer { // in any order: it is a sum
+		if k.receivedAt < before {
+			h.peersInFlight -= k.hops
+			delete(h.inFlightByPeer, gateway)
 		}
 	}
-	if h.restAt < since {
-		h.restAt = 0
+	if h.reportedInFlightAt < before {
+		h.reportedInFlightAt = 0
 	}
 }
 
 func (b *Balancer) isCold(h *host) bool {
-	return h.StartedAt > 0 && b.now-h.StartedAt < b.cold.WarmUpDuration+b.cold.StartTimeTolerance
+	return h.StartedAt > 0 && b.now-h.StartedAt < b.coldRule.WarmUpDuration+b.coldRule.StartTimeTolerance
 }
 
-// sentSince is how many hops were sent to it since then, as it was cold.
-func (h *host) sentSince(since time.Duration) int {
-	for len(h.sent) > 0 && h.sent[0] <= since {
-		h.sent = h.sent[1:]
+// coldHopsSince is how many hops were sent to it since then, as it was cold.
+func (h *host) coldHopsSince(since time.Duration) int {
+	for len(h.coldHopTimes) > 0 && h.coldHopTimes[0] <= since {
+		h.coldHopTimes = h.coldHopTimes[1:]
 	}
-	return len(h.sent)
+	return len(h.coldHopTimes)
 }
 
-// medianLat is the middle latency of the hosts that have answered.
-func medianLat(g []*host) float64 {
-	var lats []float64
-	for _, h := range g {
-		if h.lat.n > 0 {
-			lats = append(lats, h.lat.value)
+// medianLatency is the middle latency of the hosts that have answered.
+func medianLatency(hosts []*host) float64 {
+	var latencies []float64
+	for _, h := range hosts {
+		if h.latency.samples > 0 {
+			latencies = append(latencies, h.latency.value)
 		}
 	}
-	slices.Sort(lats)
-	if len(lats) == 0 {
+	slices.Sort(latencies)
+	if len(latencies) == 0 {
 		return 0
 	}
-	return lats[len(lats)/2]
+	return latencies[len(latencies)/2]
 }
 
-// news is what is to be told of the hosts of a group.
-func news(untold []*host, g *group) (held []PeerEntry) {
-	for _, h := range untold {
+// unsentEntries is what is to be told of the hosts of a group.
+func unsentEntries(unsent []*host, g *zoneGroup) (entries []PeerEntry) {
+	for _, h := range unsent {
 		if h.group == g {
-			held = append(append(held, h.ends...), PeerEntry{Host: h.ID, InFlight: h.own})
-			h.again = h.again || h.said != h.own
-			h.said, h.unsaid, h.ends = h.own, false, nil
+			entries = append(append(entries, h.unsentOutcomes...), PeerEntry{Host: h.ID, InFlight: h.ownInFlight})
+			h.resend = h.resend || h.lastSentInFlight != h.ownInFlight
+			h.lastSentInFlight, h.unsent, h.unsentOutcomes = h.ownInFlight, false, nil
 		}
 	}
-	return held
+	return entries
 }
 
 // breaker is for a host, or for one profile there. There is one for each of both, so its fields are as small as may be.
 type breaker struct {
-	row      uint8         // failures in a row
-	open     bool          // no hops but trials
-	trying   bool          // a trial is out
-	overload bool          // it was opened by overload
-	fails    float32       // smoothed share of failures, time-outs among them
-	share    float64       // the same of errors
-	since    time.Duration // when the first of the row failed, or, where there is none, of the last good answer
-	until    time.Duration // when the next trial is due
-	cool     time.Duration // the cooldown before it
+	consecutiveFailures uint8         // failures in a row
+	open                bool          // no hops but trials
+	onTrial             bool          // a trial is out
+	openedByOverload    bool          // it was opened by overload
+	failureFraction     float32       // smoothed share of failures, time-outs among them
+	errorFraction       float64       // the same of errors
+	streakSince         time.Duration // when the first of the row failed, or, where there is none, of the last good answer
+	nextTrialAt         time.Duration // when the next trial is due
+	cooldown            time.Duration // the cooldown before it
 }
 
-// retries counts a profile's transactions taken and its hops beyond each transaction's first.
-type retries struct{ taken, hops window }
+// retryUsage counts a profile's transactions taken and its hops beyond each transaction's first.
+type retryUsage struct{ transactions, retries slidingWindow }
 
-func (r *retries) took(now, span time.Duration)    { r.taken.add(now, span) }
-func (r *retries) retried(now, span time.Duration) { r.hops.add(now, span) }
+func (r *retryUsage) countTransaction(now, span time.Duration) { r.transactions.add(now, span) }
+func (r *retryUsage) countRetry(now, span time.Duration)       { r.retries.add(now, span) }
 
-// windowSlots is into how many slots a window is cut: what is counted falls by a twentieth of it at once.
-const windowSlots = 20
+// slotsPerWindow is into how many slots a window is cut: what is counted falls by a twentieth of it at once.
+const slotsPerWindow = 20
 
-// window counts what came within the last span, by slots. The oldest slot lies in it partly.
-type window struct {
-	span   time.Duration // as last counted by
-	newest int64         // number of the newest slot since the module's time 0
-	slots  [windowSlots + 1]int32
+// slidingWindow counts what came within the last span, by slots. The oldest slot lies in it partly.
+type slidingWindow struct {
+	span       time.Duration // as last counted by
+	newestSlot int64         // number of the newest slot since the module's time 0
+	slots      [slotsPerWindow + 1]int32
 }
 
-// turn lets go of slots that are past. Another span keeps what was counted, as if it had all come now.
-func (w *window) turn(now, span time.Duration) {
+// advance lets go of slots that are past. Another span keeps what was counted, as if it had all come now.
+func (w *slidingWindow) advance(now, span time.Duration) {
 	if span <= 0 {
 		return
 	}
-	at := int64(now) / max(1, int64(span)/windowSlots)
+	slot := int64(now) / max(1, int64(span)/slotsPerWindow)
 	if w.span != span {
-		all := w.all()
-		*w = window{span: span, newest: at}
-		w.slots[at%(windowSlots+1)] = int32(all)
+		total := w.total()
+		*w = slidingWindow{span: span, newestSlot: slot}
+		w.slots[slot%(slotsPerWindow+1)] = int32(total)
 	}
-	for ; w.newest < at; w.newest++ {
-		if at-w.newest > windowSlots {
-			w.newest = at - windowSlots - 1
+	for ; w.newestSlot < slot; w.newestSlot++ {
+		if slot-w.newestSlot > slotsPerWindow {
+			w.newestSlot = slot - slotsPerWindow - 1
 		}
-		w.slots[(w.newest+1)%(windowSlots+1)] = 0
+		w.slots[(w.newestSlot+1)%(slotsPerWindow+1)] = 0
 	}
 }
 
-func (w *window) add(now, span time.Duration) {
-	if w.turn(now, span); span > 0 {
-		w.slots[w.newest%(windowSlots+1)]++
+func (w *slidingWindow) add(now, span time.Duration) {
+	if w.advance(now, span); span > 0 {
+		w.slots[w.newestSlot%(slotsPerWindow+1)]++
 	}
 }
 
-// most is what may have come within the span, least what surely has.
-func (w *window) most(now, span time.Duration) float64 {
-	w.turn(now, span)
-	return w.all()
+// upperBound is what may have come within the span, least what surely has.
+func (w *slidingWindow) upperBound(now, span time.Duration) float64 {
+	w.advance(now, span)
+	return w.total()
 }
 
-func (w *window) least(now, span time.Duration) float64 {
-	w.turn(now, span)
-	return w.all() - float64(w.slots[(w.newest+1)%(windowSlots+1)])
+func (w *slidingWindow) lowerBound(now, span time.Duration) float64 {
+	w.advance(now, span)
+	return w.total() - float64(w.slots[(w.newestSlot+1)%(slotsPerWindow+1)])
 }
 
-func (w *window) all() float64 {
-	n := int32(0)
+func (w *slidingWindow) total() float64 {
+	total := int32(0)
 	for _, k := range w.slots {
-		n += k
+		total += k
 	}
-	return float64(n)
+	return float64(total)
 }
 
-type admission struct {
+type tenantAdmission struct {
 	tenants []tenant
 }
 
-// missedByOthers is the share of hops past their goal of the tenants but this one, and how many hops that rests on; 0 for no tenant.
-func (a *admission) missedByOthers(t *tenant) (share, hops float64) {
-	var others average
+// missedGoalsOfOthers is the share of hops past their goal of the tenants but this one, and how many hops that rests on; 0 for no tenant.
+func (a *tenantAdmission) missedGoalsOfOthers(t *tenant) (fraction, hops float64) {
+	var others movingAverage
 	for i := range a.tenants {
 		if k := &a.tenants[i]; t != nil {
-			others.add(either(k == t, 0, k.missed.value), 0)
-			hops += either(k == t, 0, k.missed.n)
+			others.add(ternary(k == t, 0, k.missedGoalFraction.value), 0)
+			hops += ternary(k == t, 0, k.missedGoalFraction.samples)
 		}
 	}
 	return others.value, hops
@@ -1246,123 +1256,123 @@
 
 // tenant counts in transactions a second of this gateway.
 type tenant struct {
-	name                 string
-	quota, tokens, taken float64
-	rate                 average
-	missed               average // share of hops past their goal
-	greedy               bool    // it sends far more than its portion
+	name                    string
+	quota, tokens, arrivals float64
+	arrivalRate             movingAverage
+	missedGoalFraction      movingAverage // share of hops past their goal
+	overShare               bool          // it sends far more than its portion
 }
 
 // refill gives tenants a second's tokens, by an even part of the quota or what the middle tenant shows, so
 // that none at a busy gateway is taken for greedy.
-func (a *admission) refill(gateways float64) {
-	var parts []float64
+func (a *tenantAdmission) refill(gatewayCount float64) {
+	var quotaUsage []float64
 	for i := range a.tenants {
 		t := &a.tenants[i]
-		t.rate.add(t.taken, shortTermSmoothing)
-		t.taken = 0
-		parts = append(parts, t.rate.value/t.quota)
+		t.arrivalRate.add(t.arrivals, shortTermSmoothing)
+		t.arrivals = 0
+		quotaUsage = append(quotaUsage, t.arrivalRate.value/t.quota)
 	}
-	slices.Sort(parts)
+	slices.Sort(quotaUsage)
 	for i := range a.tenants {
 		t := &a.tenants[i]
-		portion := t.quota * max(1/gateways, parts[len(parts)/2])
-		t.greedy = t.rate.value > overSharePortionMultiple*portion
+		portion := t.quota * max(1/gatewayCount, quotaUsage[len(quotaUsage)/2])
+		t.overShare = t.arrivalRate.value > overSharePortionMultiple*portion
 		t.tokens = min(max(t.tokens, 0)+portion*portionSlackFactor, 2*portion*portionSlackFactor)
 	}
 }
 
-// over tells whether a transaction goes beyond its tenant's share.
-func (a *admission) over(i int) bool {
-	t := &a.tenants[i]
-	t.taken++
+// charge tells whether a transaction goes beyond its tenant's share.
+func (a *tenantAdmission) charge(tenantIndex int) bool {
+	t := &a.tenants[tenantIndex]
+	t.arrivals++
 	t.tokens--
-	return t.greedy && t.tokens < 0
+	return t.overShare && t.tokens < 0
 }
 
 type tx struct {
-	id      TxID
-	profile int
-	prof    *Profile
-	stop    time.Duration // when an answer earns nothing more, or the budget ends
-	hops    []hop
-	out     int // hops out
-	key     uint32
-	home    *group  // the zone it came in
-	most    int     // hops that it may have
-	weighs  int     // what a hop of it counts at its host: nothing while its body comes
-	outlier bool    // its tenant's wait long wherever they go: its hops weigh and tell nothing
-	over    bool    // beyond its tenant's share
-	tenant  *tenant // nil where there is none
-	late    bool    // its client reads it slowly
-	done    bool    // it has its final answer, or its stream has begun
-}
-
-// lot is a host's in a draw: the largest falls to each as often as its weight asks.
-type lot struct {
-	host   *host
-	e, lot float64 // expected time; the lot
-}
-
-func twoLargest(lots []lot) (first, second lot) {
-	for i, l := range lots {
-		if i == 0 || l.lot > first.lot {
-			first, second = l, first
-		} else if second.host == nil || l.lot > second.lot {
-			second = l
+	id            TxID
+	profile       int
+	profileConfig *Profile
+	deadline      time.Duration // when an answer earns nothing more, or the budget ends
+	hops          []hop
+	hopsInFlight  int // hops out
+	affinityKey   uint32
+	homeGroup     *zoneGroup // the zone it came in
+	maxHops       int        // hops that it may have
+	hopWeight     int        // what a hop of it counts at its host: nothing while its body comes
+	outlierTenant bool       // its tenant's wait long wherever they go: its hops weigh and tell nothing
+	overShare     bool       // beyond its tenant's share
+	tenant        *tenant    // nil where there is none
+	slowReader    bool       // its client reads it slowly
+	done          bool       // it has its final answer, or its stream has begun
+}
+
+// candidate is a host's in a draw: the largest falls to each as often as its weight asks.
+type candidate struct {
+	host                *host
+	expectedTime, score float64 // expected time; the lot
+}
+
+func twoBestCandidates(candidates []candidate) (first, second candidate) {
+	for i, c := range candidates {
+		if i == 0 || c.score > first.score {
+			first, second = c, first
+		} else if second.host == nil || c.score > second.score {
+			second = c
 		}
 	}
 	return first, second
 }
 
 type hop struct {
-	host *host
-	at   time.Duration
-	idle time.Duration // for which its connection had stood unused, where that matters
-	load float64       // hops at the host when it was sent, itself included
-	over bool
-	end  HopOutcome
-	then func() // what comes next where the hop has not answered
+	host           *host
+	sentAt         time.Duration
+	connectionIdle time.Duration // for which its connection had stood unused, where that matters
+	hostInFlight   float64       // hops at the host when it was sent, itself included
+	ended          bool
+	outcome        HopOutcome
+	onFailure      func() // what comes next where the hop has not answered
 }
 
-// settle ends a transaction's part here. One that any host answers with an error is not counted to its tenant's share: it is hardly
+// settleTransaction ends a transaction's part here. One that any host answers with an error is not counted to its tenant's share: it is hardly
 // any work.
-func (b *Balancer) settle(t *tx) {
+func (b *Balancer) settleTransaction(t *tx) {
 	for i := range t.hops {
-		if !t.hops[i].over && !t.done && b.hops.CallOff {
-			b.out.CallOff(t.id, i)
+		if !t.hops[i].ended && !t.done && b.hopRule.CallOff {
+			b.executor.CallOff(t.id, i)
 		}
 	}
-	if n := t.errors(); !t.done && t.tenant != nil && n > 0 && n == len(t.hops) {
-		t.tenant.taken--
+	if n := t.errorCount(); !t.done && t.tenant != nil && n > 0 && n == len(t.hops) {
+		t.tenant.arrivals--
 		t.tenant.tokens++
 	}
-	if t.late {
-		t.late = false
-		b.late--
+	if t.slowReader {
+		t.slowReader = false
+		b.slowReaders--
 	}
-	if t.done = true; t.out == 0 {
+	if t.done = true; t.hopsInFlight == 0 {
 		delete(b.txs, t.id)
 	}
 }
 
-// errors is how many hosts have answered it with an error.
-func (t *tx) errors() (n int) {
+// errorCount is how many hosts have answered it with an error.
+func (t *tx) errorCount() (count int) {
 	for i := range t.hops {
-		if t.hops[i].over && t.hops[i].end == HopError {
-			n++
+		if t.hops[i].ended && t.hops[i].outcome == HopError {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// reRun is how many hosts further a transaction may go that may have run: its group is all that it has.
-func (t *tx) reRun() int { return either(t.ran() != nil, len(t.hops), 0) }
+// extraCandidates is how many hosts further a transaction may go that may have run: its group is all that it has.
+func (t *tx) extraCandidates() int { return ternary(t.possiblyRunHop() != nil, len(t.hops), 0) }
 
-// ran is the first hop that may have run, or still may.
-func (t *tx) ran() *hop {
+// possiblyRunHop is the first hop that may have run, or still may.
+func (t *tx) possiblyRunHop() *hop {
 	for i := range t.hops {
-		if !t.hops[i].over || !t.hops[i].end.NeverRan() {
+		if !t.hops[i].ended || !t.hops[i].outcome.NeverRan() {
 			return &t.hops[i]
 		}
 	}
