--- a/internal/protocol/body.go
+++ b/internal/protocol/body.go
@@ -10,92 +10,92 @@
 
 // Body reads a message's body piece by piece as it comes; io.EOF is its proper end, perhaps with the last piece.
 type Body struct {
-	r       *bufio.Reader
-	framing framing
-	left    int  // bytes of it, or of the chunk
-	most    int  // bytes that it may bring yet
-	chunk   bool // the end of one is to come yet
-	trailer bool // only what follows the last chunk is to come
-	ended   bool
+	reader          *bufio.Reader
+	framing         bodyFraming
+	remaining       int  // bytes of it, or of the chunk
+	maxRemaining    int  // bytes that it may bring yet
+	chunkEndPending bool // the end of one is to come yet
+	inTrailer       bool // only what follows the last chunk is to come
+	ended           bool
 }
 
 // Body is the message's body, after Skip, of most bytes at most.
-func (h *Head) Body(r *bufio.Reader, most int) *Body {
-	b := &Body{r: r, framing: h.framing, most: most}
-	if h.framing == byLength {
-		b.left, b.ended = h.length, h.length == 0
+func (h *Head) Body(r *bufio.Reader, maxBytes int) *Body {
+	b := &Body{reader: r, framing: h.framing, maxRemaining: maxBytes}
+	if h.framing == framedByLength {
+		b.remaining, b.ended = h.contentLength, h.contentLength == 0
 	}
 	return b
 }
 
 func (b *Body) Read(p []byte) (int, error) {
-	if b.framing == chunked && b.left == 0 && !b.ended {
-		if err := b.next(); err != nil {
+	if b.framing == framedByChunks && b.remaining == 0 && !b.ended {
+		if err := b.nextChunk(); err != nil {
 			return 0, err
 		}
 	}
 	if b.ended {
 		return 0, io.EOF
 	}
-	if b.framing != untilClose {
-		p = p[:min(len(p), b.left)]
+	if b.framing != framedByClose {
+		p = p[:min(len(p), b.remaining)]
 	}
-	n, err := b.r.Read(p)
-	if b.most -= n; b.most < 0 {
-		return 0, errBodyLong
+	n, err := b.reader.Read(p)
+	if b.maxRemaining -= n; b.maxRemaining < 0 {
+		return 0, errBodyTooLong
 	}
-	if b.framing == untilClose {
+	if b.framing == framedByClose {
 		b.ended = errors.Is(err, io.EOF)
 		return n, err
 	}
-	b.left -= n
-	if b.framing == byLength && b.left == 0 {
+	b.remaining -= n
+	if b.framing == framedByLength && b.remaining == 0 {
 		b.ended, err = true, io.EOF
 		return n, err
 	}
-	return n, torn(err)
+	return n, asTruncated(err)
 }
 
 // Buffered tells whether some of it has been read and not looked at.
-func (b *Body) Buffered() bool { return b.r.Buffered() > 0 }
+func (b *Body) Buffered() bool { return b.reader.Buffered() > 0 }
 
 // Remaining is how many bytes are left, where that is said.
-func (b *Body) Remaining() (bytes int, said bool) { return b.left, b.framing == byLength }
+func (b *Body) Remaining() (bytes int, known bool) { return b.remaining, b.framing == framedByLength }
 
-// next goes on to the next chunk, or over the end: trailers are dropped. Where what is read ends within a line for now, it goes on there the next
+// nextChunk goes on to the next chunk, or over the end: trailers are dropped. Where what is read ends within a line for now, it goes on there the next
 // time.
-func (b *Body) next() error {
-	if b.chunk {
-		line, err := readLine(b.r)
+func (b *Body) nextChunk() error {
+	if b.chunkEndPending {
+		line, err := readLine(b.reader)
 		if err != nil {
 			return err
 		}
 		if len(line) > 0 {
-			return errChunk
+			return errMalformedChunk
 		}
-		b.chunk = false
+		b.chunkEndPending = false
 	}
-	if !b.trailer {
-		line, err := readLine(b.r)
+	if !b.inTrailer {
+		line, err := readLine(b.reader)
 		if err != nil {
 			return err
 		}
-		digits, _, _ := bytes.Cut(line, []byte(";"))
-		n, err := strconv.ParseUint(string(bytes.Trim(digits, " \t")), 16, 31)
+		sizeText, _, _ := bytes.Cut(line, []byte(";"))
+		size, err := strconv.ParseUint(string(bytes.Trim(sizeText, " \t")), 16, 31)
 		if err != nil {
-			return errChunk
+			return errMalformedChunk
 		}
-		if int(n) > b.most {
-			return errBodyLong
+		if int(size) > b.maxRemaining {
+			return errBodyTooLong
 		}
-		if n > 0 {
-			b.left, b.chunk = int(n), true
+		if size > 0 {
+			b.remaining, b.chunkEndPending = int(size), true
 			return nil
 		}
-		b.trailer = true
+		b.inTrailer = true
 	}
-	for spent := 0; ; {
-		line, err := readLine(b.r)
+	for trailerBytes := 0; ; {
+		line, err := readLine(b.reader)
 		if err != nil {
 			return err
 		}
@@ -103,88 +103,91 @@
 			b.ended = true
 			return nil
 		}
-		if spent += len(line); spent > b.r.Size() {
-			return errHeadLong
+		if trailerBytes += len(line); trailerBytes > b.reader.Size() {
+			return errHeadTooLong
 		}
 	}
 }
 
 // BodyState is where the reading of a body stands between two pieces, for another process to go on with it.
 type BodyState struct {
-	Framing, Left, Most int
-	Chunk, Trailer      bool
-	Ahead               []byte // read and not looked at
+	Framing         int
+	Remaining       int    `json:"Left"`
+	MaxRemaining    int    `json:"Most"`
+	ChunkEndPending bool   `json:"Chunk"`
+	InTrailer       bool   `json:"Trailer"`
+	ReadAhead       []byte `json:"Ahead"` // read and not looked at
 }
 
 func (b *Body) State() BodyState {
-	ahead, _ := b.r.Peek(b.r.Buffered())
-	return BodyState{int(b.framing), b.left, b.most, b.chunk, b.trailer, bytes.Clone(ahead)}
+	readAhead, _ := b.reader.Peek(b.reader.Buffered())
+	return BodyState{int(b.framing), b.remaining, b.maxRemaining, b.chunkEndPending, b.inTrailer, bytes.Clone(readAhead)}
 }
 
 // Resume goes on with a body; r brings what is not read ahead. It is nil where the state makes no sense.
-func (s BodyState) Resume(r io.Reader) *Body {
-	if f := framing(s.Framing); f < byLength || f > untilClose || s.Left < 0 || s.Most < 0 || s.Most > MaxBodyBytes {
+func (s BodyState) Resume(rest io.Reader) *Body {
+	if framing := bodyFraming(s.Framing); framing < framedByLength || framing > framedByClose || s.Remaining < 0 || s.MaxRemaining < 0 || s.MaxRemaining > MaxBodyBytes {
 		return nil
 	}
-	ahead := bufio.NewReaderSize(io.MultiReader(bytes.NewReader(s.Ahead), r), max(resumeBuffer, len(s.Ahead)))
-	ahead.Peek(len(s.Ahead)) // into the buffer, where State finds it again if this process ends as well
-	return &Body{r: ahead, framing: framing(s.Framing),
-		left: s.Left, most: s.Most, chunk: s.Chunk, trailer: s.Trailer, ended: framing(s.Framing) == byLength && s.Left == 0}
+	reader := bufio.NewReaderSize(io.MultiReader(bytes.NewReader(s.ReadAhead), rest), max(resumeBufferBytes, len(s.ReadAhead)))
+	reader.Peek(len(s.ReadAhead)) // into the buffer, where State finds it again if this process ends as well
+	return &Body{reader: reader, framing: bodyFraming(s.Framing),
+		remaining: s.Remaining, maxRemaining: s.MaxRemaining, chunkEndPending: s.ChunkEndPending, inTrailer: s.InTrailer, ended: bodyFraming(s.Framing) == framedByLength && s.Remaining == 0}
 }
 
 // ReadBody reads a message's body, after Skip, of most bytes at most.
-func (h *Head) ReadBody(r *bufio.Reader, most int) ([]byte, error) {
-	if h.framing == byLength && h.length > most {
-		return nil, errBodyLong
+func (h *Head) ReadBody(r *bufio.Reader, maxBytes int) ([]byte, error) {
+	if h.framing == framedByLength && h.contentLength > maxBytes {
+		return nil, errBodyTooLong
 	}
-	body, whole, err := h.Body(r, most+1).hold(most, h)
-	if err == nil && !whole {
-		err = errBodyLong
+	body, complete, err := h.Body(r, maxBytes+1).readAtMost(maxBytes, h)
+	if err == nil && !complete {
+		err = errBodyTooLong
 	}
 	return body, err
 }
 
-// hold reads so many bytes, and tells whether that is all.
-func (b *Body) hold(most int, h *Head) (held []byte, whole bool, err error) {
-	if h.framing == byLength && h.length <= min(MaxBufferedBodyBytes, most) {
-		held = make([]byte, h.length)
-		_, err := io.ReadFull(b, held)
-		return held, true, torn(err)
+// readAtMost reads so many bytes, and tells whether that is all.
+func (b *Body) readAtMost(maxBytes int, head *Head) (data []byte, complete bool, err error) {
+	if head.framing == framedByLength && head.contentLength <= min(MaxBufferedBodyBytes, maxBytes) {
+		data = make([]byte, head.contentLength)
+		_, err := io.ReadFull(b, data)
+		return data, true, asTruncated(err)
 	}
-	var body bytes.Buffer // grows as it comes: its length is only claimed
-	n, err := io.CopyN(&body, b, int64(most)+1)
+	var buffer bytes.Buffer // grows as it comes: its length is only claimed
+	n, err := io.CopyN(&buffer, b, int64(maxBytes)+1)
 	if errors.Is(err, io.EOF) {
 		err = nil
 	}
-	return body.Bytes(), n <= int64(most) && b.ended, err
+	return buffer.Bytes(), n <= int64(maxBytes) && b.ended, err
 }
 
-func torn(err error) error {
+func asTruncated(err error) error {
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
-		return errTorn
+		return errTruncated
 	}
 	return err
 }
 
 // readLine reads a line, or takes nothing: what is there of it stays to be read.
 func readLine(r *bufio.Reader) ([]byte, error) {
-	for seen := 0; ; {
-		buf, err := r.Peek(max(r.Buffered(), seen+1))
-		if i := bytes.IndexByte(buf[seen:], '\n'); i >= 0 {
-			line := buf[:seen+i+1]
+	for scanned := 0; ; {
+		buf, err := r.Peek(max(r.Buffered(), scanned+1))
+		if i := bytes.IndexByte(buf[scanned:], '\n'); i >= 0 {
+			line := buf[:scanned+i+1]
 			r.Discard(len(line))
 			if len(line) < 2 || line[len(line)-2] != '\r' {
-				return nil, errChunk
+				return nil, errMalformedChunk
 			}
 			return line[:len(line)-2], nil
 		}
 		switch {
 		case errors.Is(err, bufio.ErrBufferFull):
-			return nil, errChunk
+			return nil, errMalformedChunk
 		case err != nil:
-			return nil, torn(err)
+			return nil, asTruncated(err)
 		}
-		seen = len(buf)
+		scanned = len(buf)
 	}
 }
 
@@ -192,8 +195,8 @@
 func EncodeChunk(piece []byte, last bool) [][]byte {
 	var parts [][]byte
 	if len(piece) > 0 {
-		size := append(strconv.AppendInt(make([]byte, 0, 10), int64(len(piece)), 16), "\r\n"...)
-		parts = append(parts, size, piece, crlf)
+		sizeLine := append(strconv.AppendInt(make([]byte, 0, 10), int64(len(piece)), 16), "\r\n"...)
+		parts = append(parts, sizeLine, piece, crlf)
 	}
 	if last {
 		parts = append(parts, lastChunk)
--- a/internal/protocol/list.go
+++ b/internal/protocol/list.go
@@ -32,28 +32,28 @@
 // StateTerminating is the state of a host that drains.
 const StateTerminating = "terminating"
 
-var states = map[string]logic.HostState{
+var hostStates = map[string]logic.HostState{
 	"in_service": logic.HostReady, StateTerminating: logic.HostDraining, "terminated": logic.HostGone,
 }
 
 // ParseHostList reads a list. One entry that makes no sense spoils it: it can't be told what else is wrong.
-func ParseHostList(text []byte) (*HostList, error) {
-	l := &HostList{}
-	if err := json.Unmarshal(text, l); err != nil {
+func ParseHostList(data []byte) (*HostList, error) {
+	list := &HostList{}
+	if err := json.Unmarshal(data, list); err != nil {
 		return nil, fmt.Errorf("list: %w", err)
 	}
-	for _, e := range l.Hosts {
-		if _, known := states[e.State]; !known || e.UID == "" {
+	for _, e := range list.Hosts {
+		if _, known := hostStates[e.State]; !known || e.UID == "" {
 			return nil, fmt.Errorf("list: entry %q in state %q", e.UID, e.State)
 		}
 	}
-	return l, nil
+	return list, nil
 }
 
 // Host is the entry as the module takes it; since is the time of a start on the module's clock.
-func (e *HostEntry) Host(id logic.HostID, since func(bootMS int64) time.Duration) logic.Host {
-	return logic.Host{ID: id, Zone: e.Zone, Kind: e.Model, Cell: e.Cell, State: states[e.State],
-		CapacityHint: e.Size, StartedAt: since(e.BootMS)}
+func (e *HostEntry) Host(id logic.HostID, startTime func(bootMS int64) time.Duration) logic.Host {
+	return logic.Host{ID: id, Zone: e.Zone, Kind: e.Model, Cell: e.Cell, State: hostStates[e.State],
+		CapacityHint: e.Size, StartedAt: startTime(e.BootMS)}
 }
 
 // What the calls without a transaction ask for.
@@ -64,20 +64,20 @@
 )
 
 // WatchTarget is the call for what changes after rev.
-func WatchTarget(rev int64, wait time.Duration) string {
-	return fmt.Sprintf("%s?index=%d&wait=%d", HostListPath, rev, wait.Milliseconds())
+func WatchTarget(revision int64, wait time.Duration) string {
+	return fmt.Sprintf("%s?index=%d&wait=%d", HostListPath, revision, wait.Milliseconds())
 }
 
 // IsTruncated tells whether a message ended before it was whole.
-func IsTruncated(err error) bool { return errors.Is(err, errTorn) }
+func IsTruncated(err error) bool { return errors.Is(err, errTruncated) }
 
 // ReadHostList reads discovery's answer.
-func ReadHostList(r *bufio.Reader) (body []byte, status int, keep bool, err error) {
+func ReadHostList(r *bufio.Reader) (body []byte, status int, keepAlive bool, err error) {
 	var h Head
 	if err := h.ReadResponse(r); err != nil {
 		return nil, 0, false, err
 	}
 	h.Discard(r)
-	body, err = h.ReadBody(r, listMost)
+	body, err = h.ReadBody(r, maxHostListBytes)
 	return body, h.Status, !h.Close, err
 }
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -208,7 +208,7 @@
 	first := body.State()
 	second := first.Resume(strings.NewReader("")).State()
 	rest, err := io.ReadAll(second.Resume(strings.NewReader("")))
-	fmt.Println(string(second.Ahead) == string(first.Ahead), string(rest), err)
+	fmt.Println(string(second.ReadAhead) == string(first.ReadAhead), string(rest), err)
 	// Output:
 	// <nil>
 	// abcd <nil>
