--- a/internal/transport/client_read.go
+++ b/internal/transport/client_read.go
@@ -87,7 +87,7 @@
 // and ErrShuttingDown if the request is rejected as the process ends.
 func (r *pacedReader) Read(b []byte) (int, error) {
 	if r.received > 0 && !r.discarding.Load() {
-		deadline := r.readStart.Add(r.readTimeout + time.Duration(r.received)*time.Second/bodyMinRate)
+		deadline := r.readStart.Add(r.readTimeout + time.Duration(r.received)*time.Second/minBodyBytesPerSecond)
 		if r.received > clientBufferSize { // more than a head can be: within a body
 			deadline = earlier(deadline, time.Now().Add(bodySilenceTimeout))
 		}
--- a/internal/transport/datagrams.go
+++ b/internal/transport/datagrams.go
@@ -14,27 +14,27 @@
 // ListenDatagrams opens the socket at an address. Its receive buffer is sized for so many senders that send at the same time, as far
 // as the system allows (net.core.rmem_max); where that is less, the log says so.
 func ListenDatagrams(addr string, senders int) (*DatagramSocket, error) {
-	at, err := net.ResolveUDPAddr("udp", addr)
+	udpAddr, err := net.ResolveUDPAddr("udp", addr)
 	if err != nil {
 		return nil, err
 	}
-	conn, err := net.ListenUDP("udp", at)
+	conn, err := net.ListenUDP("udp", udpAddr)
 	if err != nil {
 		return nil, err
 	}
 	d := &DatagramSocket{conn}
-	wanted := max(minPendingDatagrams, datagramsPerSender*senders) * datagramBufferCost
-	if err := conn.SetReadBuffer(wanted); err != nil {
+	wantedBytes := max(minPendingDatagrams, pendingDatagramsPerSender*senders) * receiveBufferBytesPerDatagram
+	if err := conn.SetReadBuffer(wantedBytes); err != nil {
 		slog.Warn("receive buffer of datagrams left as it was", "error", err)
 	}
-	if got := d.readBuffer(); got < wanted {
-		slog.Warn("receive buffer of datagrams smaller than wanted", "bytes", got, "wanted", wanted)
+	if gotBytes := d.readBufferBytes(); gotBytes < wantedBytes {
+		slog.Warn("receive buffer of datagrams smaller than wanted", "bytes", gotBytes, "wanted", wantedBytes)
 	}
 	return d, nil
 }
 
-// readBuffer is the size of the receive buffer, in the bytes that it is set by; 0 where the system does not tell.
-func (d *DatagramSocket) readBuffer() int {
+// readBufferBytes is the size of the receive buffer, in the bytes that it is set by; 0 where the system does not tell.
+func (d *DatagramSocket) readBufferBytes() int {
 	raw, err := d.conn.SyscallConn()
 	if err != nil {
 		return 0
@@ -55,8 +55,8 @@
 }
 
 // Serve hands on what arrives, longer datagrams cut to one byte over most, until the socket is closed.
-func (d *DatagramSocket) Serve(most int, handle func(from netip.AddrPort, msg []byte)) {
-	buf := make([]byte, most+1)
+func (d *DatagramSocket) Serve(maxBytes int, handle func(from netip.AddrPort, msg []byte)) {
+	buf := make([]byte, maxBytes+1)
 	for {
 		n, from, err := d.conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
--- a/internal/transport/datagrams_test.go
+++ b/internal/transport/datagrams_test.go
@@ -13,7 +13,7 @@
 // A thousand gateways may send while this process has no core or its lock is held: what they send waits in the socket. With the
 // system's usual receive buffer all but the first 166 datagrams were dropped, and each ask for a host among them cost its request 100 ms.
 func TestDatagramsFromManySenders(t *testing.T) {
-	const senders, each, size = 1024, datagramsPerSender, 256
+	const senders, each, size = 1024, pendingDatagramsPerSender, 256
 	d, err := ListenDatagrams("127.0.0.1:0", senders)
 	if err != nil {
 		t.Fatal(err)
@@ -53,7 +53,7 @@
 		d.Close()
 		<-served
 	}
-	wanted := min(senders*each, largestReadBuffer(t)/datagramBufferCost)
+	wanted := min(senders*each, largestReadBuffer(t)/receiveBufferBytesPerDatagram)
 	if arrived < wanted || len(bySender) < wanted/each {
 		t.Errorf("%d datagrams of %d senders arrived, of %d of %d", arrived, len(bySender), senders*each, senders)
 	}
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -43,67 +43,69 @@
 	// SlotWait is the time for which it waited for a socket of this process, which is none of its host's.
 	SlotWait time.Duration
 
-	mu    sync.Mutex
-	given bool
-	begun bool // the last byte is written, or about to be
-	stop  func()
-	c     *hostConn // from when the message is written
+	mu             sync.Mutex
+	cancelled      bool
+	lastWriteBegun bool // the last byte is written, or about to be
+	stop           func()
+	hostConn       *hostConn // from when the message is written
 }
 
 // SetReadTimeout has what is read next of an answer that goes on come within a time.
-func (x *Exchange) SetReadTimeout(d time.Duration) { x.c.conn.SetReadDeadline(time.Now().Add(d)) }
+func (x *Exchange) SetReadTimeout(timeout time.Duration) {
+	x.hostConn.conn.SetReadDeadline(time.Now().Add(timeout))
+}
 
 // FullyWritten tells, as its answer is read, whether the last byte of the message was written; if not, it never is.
-func (x *Exchange) FullyWritten() bool { return x.c.wasWhole() }
+func (x *Exchange) FullyWritten() bool { return x.hostConn.checkFullyWritten() }
 
 // BodyWriter writes what is left of a message.
 type BodyWriter struct {
-	c *hostConn
-	x *Exchange
+	hostConn *hostConn
+	exchange *Exchange
 }
 
 // ErrUnwanted is a piece that is not written to its end, as nobody wants it any more.
 var ErrUnwanted = errors.New("not wanted any more")
 
 // Write writes a further piece as long as it is wanted; nothing has run as long as the last one is missing. A host may take none for long.
-func (r *BodyWriter) Write(piece net.Buffers, wanted func() bool) error {
-	for until := time.Now().Add(streamWriteTimeout); ; {
-		r.c.conn.SetWriteDeadline(time.Now().Add(wantedPollInterval))
-		_, err := piece.WriteTo(r.c.conn) // what has gone is not in it any more
-		if errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(until) {
-			if wanted() {
+func (w *BodyWriter) Write(piece net.Buffers, stillWanted func() bool) error {
+	for deadline := time.Now().Add(streamWriteTimeout); ; {
+		w.hostConn.conn.SetWriteDeadline(time.Now().Add(stillWantedPollInterval))
+		_, err := piece.WriteTo(w.hostConn.conn) // what has gone is not in it any more
+		if errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(deadline) {
+			if stillWanted() {
 				continue
 			}
 			return ErrUnwanted
 		}
 		if err != nil {
-			r.c.conn.Close()
+			w.hostConn.conn.Close()
 		}
 		return err
 	}
 }
 
 // Abort ends the connection before the last piece: nothing has run.
-func (r *BodyWriter) Abort() { r.c.conn.Close() }
+func (w *BodyWriter) Abort() { w.hostConn.conn.Close() }
 
 // WriteLast writes the last piece; the answer is to come within a time from then on. It is written under the connection's lock: a host that
 // has all of it, and ends the connection at once, must not be taken for one that never had.
-func (r *BodyWriter) WriteLast(piece net.Buffers, within time.Duration, wanted func() bool) error {
-	r.c.mu.Lock()
-	defer r.c.mu.Unlock()
-	if r.c.out != r.x || !r.x.begin() {
+func (w *BodyWriter) WriteLast(piece net.Buffers, responseTimeout time.Duration, stillWanted func() bool) error {
+	w.hostConn.mu.Lock()
+	defer w.hostConn.mu.Unlock()
+	if w.hostConn.exchange != w.exchange || !w.exchange.beginLastWrite() {
 		return net.ErrClosed
 	}
-	err := r.Write(piece, wanted)
+	err := w.Write(piece, stillWanted)
 	if errors.Is(err, ErrUnwanted) {
-		r.x.mu.Lock()
-		r.x.begun = false // it may be withdrawn yet
-		r.x.mu.Unlock()
+		w.exchange.mu.Lock()
+		w.exchange.lastWriteBegun = false // it may be withdrawn yet
+		w.exchange.mu.Unlock()
 	}
-	if r.c.whole = err == nil; r.c.whole {
-		r.x.Deadline = time.Now().Add(within)
-		r.c.conn.SetReadDeadline(r.x.Deadline)
-		r.x.OnWritten()
+	if w.hostConn.fullyWritten = err == nil; w.hostConn.fullyWritten {
+		w.exchange.Deadline = time.Now().Add(responseTimeout)
+		w.hostConn.conn.SetReadDeadline(w.exchange.Deadline)
+		w.exchange.OnWritten()
 	}
 	return err
 }
@@ -112,7 +114,7 @@
 func (x *Exchange) Cancel() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.given = true
+	x.cancelled = true
 	if x.stop != nil {
 		x.stop()
 	}
@@ -122,27 +124,27 @@
 func (x *Exchange) CancelIfUnwritten() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.given = x.given || !x.begun; !x.begun && x.stop != nil {
+	if x.cancelled = x.cancelled || !x.lastWriteBegun; !x.lastWriteBegun && x.stop != nil {
 		x.stop()
 	}
 }
 
-// begin says that the last byte is about to be written; it is false where the exchange was given up before.
-func (x *Exchange) begin() bool {
+// beginLastWrite says that the last byte is about to be written; it is false where the exchange was given up before.
+func (x *Exchange) beginLastWrite() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.begun = !x.given
-	return x.begun
+	x.lastWriteBegun = !x.cancelled
+	return x.lastWriteBegun
 }
 
-func (x *Exchange) wanted() bool { return x.StillWanted == nil || x.StillWanted() }
+func (x *Exchange) isWanted() bool { return x.StillWanted == nil || x.StillWanted() }
 
-// stopBy says how the exchange is stopped from now on; it is false if that is due already.
-func (x *Exchange) stopBy(stop func()) bool {
+// setStop says how the exchange is stopped from now on; it is false if that is due already.
+func (x *Exchange) setStop(stop func()) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.stop = stop
-	return !x.given
+	return !x.cancelled
 }
 
 // Target is a host as the pool knows it. Another host may come to the address of one that has gone: what is open to that
@@ -154,96 +156,96 @@
 
 // Pool keeps the connections to hosts. The one used last is used first, so that few are kept.
 type Pool struct {
-	limit   *ConnLimit
-	Dial    func(ctx context.Context, network, addr string) (net.Conn, error) // opens one
-	within  time.Duration                                                     // for it to come up
-	idle    time.Duration                                                     // for which one is kept idle
-	mu      sync.Mutex
-	free    map[Target][]*hostConn
-	Opened  atomic.Int64
-	Evicted atomic.Int64 // idle connections closed for others
+	limit          *ConnLimit
+	Dial           func(ctx context.Context, network, addr string) (net.Conn, error) // opens one
+	connectTimeout time.Duration                                                     // for it to come up
+	idleTimeout    time.Duration                                                     // for which one is kept idle
+	mu             sync.Mutex
+	idle           map[Target][]*hostConn
+	Opened         atomic.Int64
+	Evicted        atomic.Int64 // idle connections closed for others
 }
 
-func NewPool(limit *ConnLimit, connectWithin, hostsKeepIdle time.Duration) *Pool {
-	p := &Pool{limit: limit, Dial: (&net.Dialer{}).DialContext, within: connectWithin, idle: hostsKeepIdle / hostIdleDivisor, free: map[Target][]*hostConn{}}
+func NewPool(limit *ConnLimit, connectTimeout, hostIdleTimeout time.Duration) *Pool {
+	p := &Pool{limit: limit, Dial: (&net.Dialer{}).DialContext, connectTimeout: connectTimeout, idleTimeout: hostIdleTimeout / hostIdleDivisor, idle: map[Target][]*hostConn{}}
 	limit.AddEvictor(p.evict)
 	return p
 }
 
 type hostConn struct {
 	pool   *Pool
-	to     Target
+	target Target
 	conn   net.Conn
 	socket socketState
-	r      *bufio.Reader
+	reader *bufio.Reader
 
-	since     time.Time // idle since then; guarded by the pool, as is slotTaken
-	slotTaken bool      // its place under the limit is another's
+	idleSince       time.Time // idle since then; guarded by the pool, as is slotTaken
+	slotTransferred bool      // its place under the limit is another's
 
-	mu    sync.Mutex // held while a message is written
-	out   *Exchange
-	whole bool // its last byte is written
-	dead  bool
+	mu           sync.Mutex // held while a message is written
+	exchange     *Exchange
+	fullyWritten bool // its last byte is written
+	dead         bool
 }
 
 // Start sends an exchange to a host, on a connection that is idle or on a new one.
-func (p *Pool) Start(to Target, x *Exchange) {
-	if !x.wanted() {
+func (p *Pool) Start(target Target, x *Exchange) {
+	if !x.isWanted() {
 		x.OnDone(OutcomeWithdrawn)
 		return
 	}
-	for c := p.take(to); c != nil; c = p.take(to) {
+	for c := p.takeIdle(target); c != nil; c = p.takeIdle(target) {
 		if c.send(x) {
 			return
 		}
 	}
-	go p.dial(to, x)
+	go p.dial(target, x)
 }
 
-// take gives the idle connection that was used last.
-func (p *Pool) take(to Target) *hostConn {
+// takeIdle gives the idle connection that was used last.
+func (p *Pool) takeIdle(target Target) *hostConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	free := p.free[to]
-	if len(free) == 0 {
+	idle := p.idle[target]
+	if len(idle) == 0 {
 		return nil
 	}
-	c := free[len(free)-1]
-	p.keep(to, free[:len(free)-1])
+	c := idle[len(idle)-1]
+	p.setIdle(target, idle[:len(idle)-1])
 	return c
 }
 
-func (p *Pool) park(c *hostConn) {
-	c.conn.SetReadDeadline(time.Now().Add(p.idle))
+func (p *Pool) putIdle(c *hostConn) {
+	c.conn.SetReadDeadline(time.Now().Add(p.idleTimeout))
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c.since = time.Now()
-	p.free[c.to] = append(p.free[c.to], c)
+	c.idleSince = time.Now()
+	p.idle[c.target] = append(p.idle[c.target], c)
 }
 
-// keep is what is idle to a host from now on. Hosts come and go: one to which nothing is idle leaves no trace.
-func (p *Pool) keep(to Target, free []*hostConn) {
-	if p.free[to] = free; len(free) == 0 {
-		delete(p.free, to)
+// setIdle is what is idle to a host from now on. Hosts come and go: one to which nothing is idle leaves no trace.
+func (p *Pool) setIdle(target Target, idle []*hostConn) {
+	if p.idle[target] = idle; len(idle) == 0 {
+		delete(p.idle, target)
 	}
 }
 
-// drop forgets a connection that is closed.
-func (p *Pool) drop(c *hostConn) {
+// remove forgets a connection that is closed.
+func (p *Pool) remove(c *hostConn) {
 	p.mu.Lock()
-	p.forget(c)
-	slotTaken := c.slotTaken
+	p.removeIdle(c)
+	slotTransferred := c.slotTransferred
 	p.mu.Unlock()
 	c.conn.Close()
-	if !slotTaken {
+	if !slotTransferred {
 		p.limit.Release()
 	}
 }
 
-func (p *Pool) forget(c *hostConn) {
-	free := p.free[c.to]
-	if i := slices.Index(free, c); i >= 0 {
-		p.keep(c.to, slices.Delete(free, i, i+1))
+func (p *Pool) removeIdle(c *hostConn) {
+	idle := p.idle[c.target]
+	if i := slices.Index(idle, c); i >= 0 {
+		p.setIdle(c.target, slices.Delete(idle, i, i+1))
 	}
 }
 
@@ -252,24 +254,24 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var oldest *hostConn
-	for _, free := range p.free { // in any order: the oldest is the same
-		if len(free) > 0 && (oldest == nil || free[0].since.Before(oldest.since)) {
-			oldest = free[0]
+	for _, idle := range p.idle { // in any order: the oldest is the same
+		if len(idle) > 0 && (oldest == nil || idle[0].idleSince.Before(oldest.idleSince)) {
+			oldest = idle[0]
 		}
 	}
 	if oldest == nil {
 		return false
 	}
-	p.forget(oldest)
+	p.removeIdle(oldest)
 	p.Evicted.Add(1)
-	oldest.slotTaken = true
+	oldest.slotTransferred = true
 	oldest.conn.Close()
 	return true
 }
 
 // CloseIdleTo closes the idle connections to a host to which nothing more is sent.
-func (p *Pool) CloseIdleTo(to Target) {
-	for c := p.take(to); c != nil; c = p.take(to) {
+func (p *Pool) CloseIdleTo(target Target) {
+	for c := p.takeIdle(target); c != nil; c = p.takeIdle(target) {
 		c.conn.Close()
 	}
 }
@@ -278,36 +280,36 @@
 func (p *Pool) CloseAllIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, free := range p.free { // in any order: all are closed
-		for _, c := range free {
+	for _, idle := range p.idle { // in any order: all are closed
+		for _, c := range idle {
 			c.conn.Close()
 		}
 	}
-	p.free = map[Target][]*hostConn{} // one that is closed must not be taken before it notices
+	p.idle = map[Target][]*hostConn{} // one that is closed must not be taken before it notices
 }
 
-func (p *Pool) dial(to Target, x *Exchange) {
-	ctx, cancel := context.WithDeadline(context.Background(), earlier(x.Deadline, time.Now().Add(p.within)))
+func (p *Pool) dial(target Target, x *Exchange) {
+	ctx, cancel := context.WithDeadline(context.Background(), earlier(x.Deadline, time.Now().Add(p.connectTimeout)))
 	defer cancel()
-	if !x.stopBy(cancel) {
+	if !x.setStop(cancel) {
 		x.OnDone(OutcomeWithdrawn)
 		return
 	}
-	began := time.Now()
+	waitStart := time.Now()
 	acquired := p.limit.Acquire(ctx)
-	x.SlotWait = time.Since(began)
+	x.SlotWait = time.Since(waitStart)
 	if !acquired {
-		if x.stopBy(nil) {
+		if x.setStop(nil) {
 			x.OnDone(OutcomeNoSlot)
 		} else {
 			x.OnDone(OutcomeWithdrawn)
 		}
 		return
 	}
-	nc, err := p.Dial(ctx, "tcp", to.Addr)
+	conn, err := p.Dial(ctx, "tcp", target.Addr)
 	if err != nil {
 		p.limit.Release()
-		if x.stopBy(nil) {
+		if x.setStop(nil) {
 			x.OnDone(OutcomeConnectFailed)
 		} else {
 			x.OnDone(OutcomeWithdrawn)
@@ -315,14 +317,14 @@
 		return
 	}
 	p.Opened.Add(1)
-	if !x.wanted() { // it was long in coming up
-		nc.Close()
+	if !x.isWanted() { // it was long in coming up
+		conn.Close()
 		p.limit.Release()
 		x.OnDone(OutcomeWithdrawn)
 		return
 	}
-	nc.(*net.TCPConn).SetWriteBuffer(sendBufferSize)
-	c := &hostConn{pool: p, to: to, conn: nc, socket: socketStateOf(nc), r: bufio.NewReaderSize(nc, hostBufferSize)}
+	conn.(*net.TCPConn).SetWriteBuffer(sendBufferSize)
+	c := &hostConn{pool: p, target: target, conn: conn, socket: socketStateOf(conn), reader: bufio.NewReaderSize(conn, hostBufferSize)}
 	if !c.send(x) { // its host speaks, or ends it, unasked
 		x.OnDone(OutcomeNotWritten)
 	}
@@ -352,10 +354,10 @@
 		c.dead = true
 		return false
 	}
-	invariant.Check(c.out == nil, "one exchange a connection")
-	c.out, c.whole, x.c = x, false, c
+	invariant.Check(c.exchange == nil, "one exchange a connection")
+	c.exchange, c.fullyWritten, x.hostConn = x, false, c
 	c.conn.SetDeadline(x.Deadline)
-	if !x.stopBy(func() { c.conn.Close() }) || x.StreamBody == nil && !x.begin() {
+	if !x.setStop(func() { c.conn.Close() }) || x.StreamBody == nil && !x.beginLastWrite() {
 		c.conn.Close() // its goroutine ends the exchange
 		return true
 	}
@@ -365,13 +367,13 @@
 	case err != nil:
 		c.conn.Close()
 	case x.StreamBody != nil:
-		x.Deadline = time.Now().Add(maxBodyTime)
+		x.Deadline = time.Now().Add(maxBodyDuration)
 		c.conn.SetReadDeadline(x.Deadline)
 		if !x.StreamBody(&BodyWriter{c, x}) {
 			c.conn.Close()
 		}
 	default:
-		if c.whole = true; x.OnWritten != nil {
+		if c.fullyWritten = true; x.OnWritten != nil {
 			x.OnWritten()
 		}
 	}
@@ -380,76 +382,76 @@
 
 // serve reads: answers while a message is out, the host's closing while none is.
 func (c *hostConn) serve() {
-	defer c.pool.drop(c)
+	defer c.pool.remove(c)
 	for {
 		err := c.socket.waitReadable()
-		x, late := c.await(err)
-		if late {
+		x, idleExpired := c.awaitedExchange(err)
+		if idleExpired {
 			continue
 		}
 		if x == nil {
 			return
 		}
-		keep := false
+		keepAlive := false
 		if err == nil {
-			keep, err = x.ReadResponse(c.r)
+			keepAlive, err = x.ReadResponse(c.reader)
 		}
-		whole := c.wasWhole()
-		how := x.ended(err, whole)
-		if keep = keep && whole && how == OutcomeAnswered && c.r.Buffered() == 0; keep {
-			c.release()
-			c.pool.park(c)
+		fullyWritten := c.checkFullyWritten()
+		outcome := x.finish(err, fullyWritten)
+		if keepAlive = keepAlive && fullyWritten && outcome == OutcomeAnswered && c.reader.Buffered() == 0; keepAlive {
+			c.clearExchange()
+			c.pool.putIdle(c)
 		}
-		x.OnDone(how)
-		if !keep {
+		x.OnDone(outcome)
+		if !keepAlive {
 			return
 		}
 	}
 }
 
-// await gives the exchange that is out. Where none is, the connection is dead from then on: the host has closed it,
+// awaitedExchange gives the exchange that is out. Where none is, the connection is dead from then on: the host has closed it,
 // it has been idle for too long, or something came that nobody has asked for. late tells that the time for which it
 // may stand idle was over just as a message was sent.
-func (c *hostConn) await(err error) (x *Exchange, late bool) {
+func (c *hostConn) awaitedExchange(err error) (x *Exchange, idleExpired bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.out == nil {
+	if c.exchange == nil {
 		c.dead = true
-	} else if errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(c.out.Deadline) {
+	} else if errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(c.exchange.Deadline) {
 		return nil, true
 	}
-	return c.out, false
+	return c.exchange, false
 }
 
-// wasWhole tells whether the last byte of the message was written; if not, it never is. A host may answer, or break off, before that.
-func (c *hostConn) wasWhole() bool {
+// checkFullyWritten tells whether the last byte of the message was written; if not, it never is. A host may answer, or break off, before that.
+func (c *hostConn) checkFullyWritten() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.whole {
-		c.out = nil
+	if !c.fullyWritten {
+		c.exchange = nil
 	}
-	return c.whole
+	return c.fullyWritten
 }
 
-func (c *hostConn) release() {
+func (c *hostConn) clearExchange() {
 	c.mu.Lock()
-	c.out = nil
+	c.exchange = nil
 	c.mu.Unlock()
 }
 
-// ended tells how the exchange ended; from then on it can't be given up.
-func (x *Exchange) ended(err error, whole bool) Outcome {
+// finish tells how the exchange ended; from then on it can't be given up.
+func (x *Exchange) finish(err error, fullyWritten bool) Outcome {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.stop = nil
 	switch {
 	case err == nil:
 		return OutcomeAnswered
-	case x.given && !whole:
+	case x.cancelled && !fullyWritten:
 		return OutcomeWithdrawn
-	case x.given:
+	case x.cancelled:
 		return OutcomeCancelled
-	case !whole:
+	case !fullyWritten:
 		return OutcomeNotWritten
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return OutcomeTimedOut
--- a/internal/transport/socket_state.go
+++ b/internal/transport/socket_state.go
@@ -15,15 +15,15 @@
 type socketState struct{ raw syscall.RawConn }
 
 // socketStateOf returns the state of a TCP connection.
-func socketStateOf(nc net.Conn) socketState {
-	raw, _ := nc.(*net.TCPConn).SyscallConn() // fails only for a connection that was never open
+func socketStateOf(conn net.Conn) socketState {
+	raw, _ := conn.(*net.TCPConn).SyscallConn() // fails only for a connection that was never open
 	return socketState{raw}
 }
 
 // ReadableCheck returns a function that reports whether the connection has something to read: data, the
 // peer's close, or an error. The check does not change what a later read finds: a response that ends with its
 // connection is still complete if the peer closed it, and cut off if the peer reset it.
-func ReadableCheck(nc net.Conn) func() bool { return socketStateOf(nc).readable }
+func ReadableCheck(conn net.Conn) func() bool { return socketStateOf(conn).readable }
 
 // waitReadable waits until there is something to read. It returns io.EOF if that is the peer's close, the
 // connection's error if it broke, and os.ErrDeadlineExceeded at the read deadline.
@@ -48,17 +48,17 @@
 // peerClosed reports whether the peer has closed the connection or its sending side, even if unread bytes
 // come before that.
 func (s socketState) peerClosed() (closed bool) {
-	s.raw.Control(func(fd uintptr) { closed = hungUp(fd) })
+	s.raw.Control(func(fd uintptr) { closed = peerHungUp(fd) })
 	return closed
 }
 
 // waitPeerClosed waits until the peer closes, whatever bytes come before that. Its error is one of this side:
 // os.ErrDeadlineExceeded at the read deadline, net.ErrClosed if the connection is closed here.
-func (s socketState) waitPeerClosed() error { return s.raw.Read(hungUp) }
+func (s socketState) waitPeerClosed() error { return s.raw.Read(peerHungUp) }
 
-// hungUp asks for the state of the connection, which the kernel reports ahead of unread bytes. A close of the
+// peerHungUp asks for the state of the connection, which the kernel reports ahead of unread bytes. A close of the
 // sending side alone counts: a client that has done that sends no more.
-func hungUp(fd uintptr) bool { return pollEvents(fd, unix.POLLRDHUP) != 0 }
+func peerHungUp(fd uintptr) bool { return pollEvents(fd, unix.POLLRDHUP) != 0 }
 
 // pollEvents returns which of the wanted poll events hold, and POLLHUP and POLLERR, which poll reports
 // unasked. Unlike a receive, poll leaves the connection's pending error in place. A receive takes it even
--- a/internal/transport/succession.go
+++ b/internal/transport/succession.go
@@ -17,16 +17,16 @@
 
 // ListenHandover listens at a path; what a process before left there gives way.
 func ListenHandover(path string) (*HandoverListener, error) {
-	own := fmt.Sprintf("%s.%d", path, os.Getpid())
-	os.Remove(own)
-	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: own, Net: "unix"})
+	tempPath := fmt.Sprintf("%s.%d", path, os.Getpid())
+	os.Remove(tempPath)
+	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: tempPath, Net: "unix"})
 	if err != nil {
 		return nil, err
 	}
 	ln.SetUnlinkOnClose(false) // by then the path may be its successor's
-	if err := os.Rename(own, path); err != nil {
+	if err := os.Rename(tempPath, path); err != nil {
 		ln.Close()
-		os.Remove(own)
+		os.Remove(tempPath)
 		return nil, err
 	}
 	return &HandoverListener{ln}, nil
@@ -36,9 +36,9 @@
 
 // Serve takes what is handed over, until Close: a note that says what it is, and bytes that go with it. Each may wait for room. What is
 // given back is the answer to a process that asks.
-func (s *HandoverListener) Serve(take func(note, bytes []byte, conns []net.Conn) []byte) {
+func (s *HandoverListener) Serve(handle func(record, data []byte, conns []net.Conn) []byte) {
 	for {
-		from, err := s.ln.AcceptUnix()
+		conn, err := s.ln.AcceptUnix()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -48,120 +48,120 @@
 			continue
 		}
 		go func() {
-			defer from.Close()
-			note, bytes, conns, err := taken(from)
+			defer conn.Close()
+			record, data, conns, err := receiveHandover(conn)
 			if err != nil {
 				slog.Warn("handed over, and not understood", "connections", len(conns), "error", err)
-				for _, nc := range conns {
-					nc.Close()
+				for _, client := range conns {
+					client.Close()
 				}
 				return
 			}
-			if answer := take(note, bytes, conns); answer != nil {
-				from.SetDeadline(time.Now().Add(handoverWriteTimeout))
-				parts := net.Buffers{lengths(answer), answer}
-				parts.WriteTo(from) // without it the other goes on as if it had not asked
+			if reply := handle(record, data, conns); reply != nil {
+				conn.SetDeadline(time.Now().Add(handoverWriteTimeout))
+				parts := net.Buffers{encodeLengths(reply), reply}
+				parts.WriteTo(conn) // without it the other goes on as if it had not asked
 			}
 		}()
 	}
 }
 
-// taken reads what is handed over: two lengths, with the connections, and so many bytes. All of it is this process's once it has come
+// receiveHandover reads what is handed over: two lengths, with the connections, and so many bytes. All of it is this process's once it has come
 // whole, also where the one before does not wait to be told so: it has let go of them then.
-func taken(from *net.UnixConn) (note, bytes []byte, conns []net.Conn, err error) {
-	from.SetDeadline(time.Now().Add(handoverReadTimeout))
-	head, rights := make([]byte, 8), make([]byte, syscall.CmsgSpace(4*4))
-	n, k, _, _, err := from.ReadMsgUnix(head, rights)
+func receiveHandover(conn *net.UnixConn) (record, data []byte, conns []net.Conn, err error) {
+	conn.SetDeadline(time.Now().Add(handoverReadTimeout))
+	header, control := make([]byte, 8), make([]byte, syscall.CmsgSpace(4*4))
+	n, controlLen, _, _, err := conn.ReadMsgUnix(header, control)
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	messages, err := syscall.ParseSocketControlMessage(rights[:k])
-	for _, m := range messages {
-		fds, _ := syscall.ParseUnixRights(&m)
+	messages, err := syscall.ParseSocketControlMessage(control[:controlLen])
+	for _, message := range messages {
+		fds, _ := syscall.ParseUnixRights(&message)
 		for _, fd := range fds {
 			file := os.NewFile(uintptr(fd), "handed over")
-			nc, wrong := net.FileConn(file)
+			handedOver, fileErr := net.FileConn(file)
 			file.Close()
-			if wrong != nil {
-				err = wrong
+			if fileErr != nil {
+				err = fileErr
 				continue
 			}
-			conns = append(conns, nc)
+			conns = append(conns, handedOver)
 		}
 	}
 	if err == nil {
-		_, err = io.ReadFull(from, head[n:])
+		_, err = io.ReadFull(conn, header[n:])
 	}
-	for i, part := range []*[]byte{&note, &bytes} {
-		long := binary.BigEndian.Uint32(head[4*i:])
-		if err == nil && long > maxHandoverBytes {
-			err = fmt.Errorf("%d bytes are handed over", long)
+	for i, part := range []*[]byte{&record, &data} {
+		length := binary.BigEndian.Uint32(header[4*i:])
+		if err == nil && length > maxHandoverBytes {
+			err = fmt.Errorf("%d bytes are handed over", length)
 		}
 		if err == nil {
-			*part = make([]byte, long)
-			_, err = io.ReadFull(from, *part)
+			*part = make([]byte, length)
+			_, err = io.ReadFull(conn, *part)
 		}
 	}
 	if err == nil {
-		from.Write([]byte{1})
+		conn.Write([]byte{1})
 	}
-	return note, bytes, conns, err
+	return record, data, conns, err
 }
 
-// lengths is what goes before parts: how long each is.
-func lengths(parts ...[]byte) (head []byte) {
+// encodeLengths is what goes before parts: how long each is.
+func encodeLengths(parts ...[]byte) (header []byte) {
 	for _, part := range parts {
-		head = binary.BigEndian.AppendUint32(head, uint32(len(part)))
+		header = binary.BigEndian.AppendUint32(header, uint32(len(part)))
 	}
-	return head
+	return header
 }
 
 // QueryProcess asks the process that listens at the path, and gives back what it says; nil where there is none, or it has nothing to say.
-func QueryProcess(path string, note []byte) []byte {
-	to, err := net.DialUnix("unix", nil, &net.UnixAddr{Name: path, Net: "unix"})
+func QueryProcess(path string, query []byte) []byte {
+	conn, err := net.DialUnix("unix", nil, &net.UnixAddr{Name: path, Net: "unix"})
 	if err != nil {
 		return nil
 	}
-	defer to.Close()
-	to.SetDeadline(time.Now().Add(learntStateTimeout))
-	if _, err := to.Write(append(lengths(note, nil), note...)); err != nil {
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(queryProcessTimeout))
+	if _, err := conn.Write(append(encodeLengths(query, nil), query...)); err != nil {
 		return nil
 	}
-	head := make([]byte, 5) // the word that all has come, and the length
-	if _, err := io.ReadFull(to, head); err != nil {
+	header := make([]byte, 5) // the word that all has come, and the length
+	if _, err := io.ReadFull(conn, header); err != nil {
 		return nil
 	}
-	long := binary.BigEndian.Uint32(head[1:])
-	if long > maxHandoverBytes {
+	length := binary.BigEndian.Uint32(header[1:])
+	if length > maxHandoverBytes {
 		return nil
 	}
-	answer := make([]byte, long)
-	if _, err := io.ReadFull(to, answer); err != nil {
+	reply := make([]byte, length)
+	if _, err := io.ReadFull(conn, reply); err != nil {
 		return nil
 	}
-	return answer
+	return reply
 }
 
 // HandOverClient passes a client's connection, and others that belong to it, on to the process that listens at the path; it is false where nobody
 // else does, or has not all of it. Once all is sent the connections are the other's, whether or not that says so in time: two may not
 // write to one client.
-func HandOverClient(path string, note, bytes []byte, c *Client, more ...net.Conn) bool {
-	if max(len(note), len(bytes)) > maxHandoverBytes {
+func HandOverClient(path string, record, data []byte, c *Client, others ...net.Conn) bool {
+	if max(len(record), len(data)) > maxHandoverBytes {
 		return false
 	}
-	to, err := net.DialUnix("unix", nil, &net.UnixAddr{Name: path, Net: "unix"})
+	conn, err := net.DialUnix("unix", nil, &net.UnixAddr{Name: path, Net: "unix"})
 	if err != nil {
 		return false
 	}
-	defer to.Close()
-	if peer(to) == os.Getpid() { // nobody has come to replace this process
+	defer conn.Close()
+	if peerPID(conn) == os.Getpid() { // nobody has come to replace this process
 		return false
 	}
-	to.SetDeadline(time.Now().Add(handoverWriteTimeout))
-	head := lengths(note, bytes)
-	err = holding(append([]net.Conn{c.conn}, more...), nil, func(fds []int) error {
-		n, _, err := to.WriteMsgUnix(head, syscall.UnixRights(fds...), nil)
-		if err == nil && n < len(head) {
+	conn.SetDeadline(time.Now().Add(handoverWriteTimeout))
+	header := encodeLengths(record, data)
+	err = withDescriptors(append([]net.Conn{c.conn}, others...), nil, func(fds []int) error {
+		n, _, err := conn.WriteMsgUnix(header, syscall.UnixRights(fds...), nil)
+		if err == nil && n < len(header) {
 			err = io.ErrShortWrite
 		}
 		return err
@@ -169,31 +169,31 @@
 	if err != nil {
 		return false
 	}
-	all := net.Buffers{note, bytes}
-	if _, err := all.WriteTo(to); err != nil {
+	parts := net.Buffers{record, data}
+	if _, err := parts.WriteTo(conn); err != nil {
 		return false
 	}
-	to.Read(make([]byte, 1))
+	conn.Read(make([]byte, 1))
 	return true
 }
 
-// holding calls do with the descriptors of connections, none of which can be closed meanwhile: one that gave way to another just then
+// withDescriptors calls do with the descriptors of connections, none of which can be closed meanwhile: one that gave way to another just then
 // would leave its number to a stranger's.
-func holding(conns []net.Conn, fds []int, do func(fds []int) error) error {
+func withDescriptors(conns []net.Conn, fds []int, call func(fds []int) error) error {
 	if len(conns) == 0 {
-		return do(fds)
+		return call(fds)
 	}
 	raw, err := conns[0].(*net.TCPConn).SyscallConn()
 	if err != nil {
 		return err
 	}
-	var done error
-	err = raw.Control(func(fd uintptr) { done = holding(conns[1:], append(fds, int(fd)), do) })
-	return errors.Join(err, done)
+	var callErr error
+	err = raw.Control(func(fd uintptr) { callErr = withDescriptors(conns[1:], append(fds, int(fd)), call) })
+	return errors.Join(err, callErr)
 }
 
-func peer(nc *net.UnixConn) (pid int) {
-	raw, err := nc.SyscallConn()
+func peerPID(conn *net.UnixConn) (pid int) {
+	raw, err := conn.SyscallConn()
 	if err != nil {
 		return 0
 	}
@@ -206,7 +206,7 @@
 }
 
 // HostConn is the connection of an exchange whose answer goes on.
-func (x *Exchange) HostConn() net.Conn { return x.c.conn }
+func (x *Exchange) HostConn() net.Conn { return x.hostConn.conn }
 
 // Adopt registers a client's connection that the previous process handed over within a response, and calls
 // handle for it in a new goroutine. It blocks while there is no slot.
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -121,7 +121,7 @@
 	p.CloseIdleTo(first)
 	p.CloseIdleTo(second)
 	until(func() bool { return p.limit.InUse() == 0 })
-	fmt.Println("kept of hosts that have gone:", len(p.free))
+	fmt.Println("kept of hosts that have gone:", len(p.idle))
 	// Output:
 	// first: answered "the first's\n", 1 opened
 	// to its successor: answered "the successor's\n", 2 opened
@@ -139,7 +139,7 @@
 		panic(err)
 	}
 	defer nc.Close()
-	c := &hostConn{conn: nc, socket: socketStateOf(nc), r: bufio.NewReader(nc)}
+	c := &hostConn{conn: nc, socket: socketStateOf(nc), reader: bufio.NewReader(nc)}
 	until(c.socket.readable)
 	fmt.Println("sent:", c.send(&Exchange{Deadline: time.Now().Add(ever), BuildMessage: func() net.Buffers { return nil }}))
 	// Output: sent: false
