--- a/internal/config/retune.go
+++ b/internal/config/retune.go
@@ -12,58 +12,58 @@
 )
 
 const (
-	lateFor     = 1500 * time.Millisecond // for which what was in force is served: clients hear of a change late
-	placesMost  = 256                     // profiles that one process may have known, each by effect: far over any use
-	longestMost = time.Hour               // of a hard limit or service goal: a longer one has its units wrong
-	hopsMost    = 1000                    // of one transaction, ditto
-	ninesMost   = 20                      // tenfold steps: no share is that small
+	removedProfileTTL     = 1500 * time.Millisecond // for which what was in force is served: clients hear of a change late
+	maxKnownProfiles      = 256                     // profiles that one process may have known, each by effect: far over any use
+	maxDurationSetting    = time.Hour               // of a hard limit or service goal: a longer one has its units wrong
+	maxHopsPerTransaction = 1000                    // of one transaction, ditto
+	maxAvailabilityNines  = 20                      // tenfold steps: no share is that small
 )
 
 // SettingsUpdate is settings that were checked whole and are not in force yet.
-type SettingsUpdate struct{ rules rules }
+type SettingsUpdate struct{ settings reloadableSettings }
 
 // CheckComplete tells whether a text holds every key of the one in force, those left out by name aside. What is missing was more likely
 // lost on the way than meant.
-func CheckComplete(inForce, text []byte, but ...string) error {
-	var was, is any
-	if err := json.Unmarshal(text, &is); err != nil {
+func CheckComplete(current, next []byte, optional ...string) error {
+	var currentValue, nextValue any
+	if err := json.Unmarshal(next, &nextValue); err != nil {
 		return err
 	}
-	if err := json.Unmarshal(inForce, &was); err != nil {
+	if err := json.Unmarshal(current, &currentValue); err != nil {
 		return err
 	}
-	if m, ok := was.(map[string]any); ok {
-		for _, key := range but {
-			delete(m, key)
+	if object, ok := currentValue.(map[string]any); ok {
+		for _, key := range optional {
+			delete(object, key)
 		}
 	}
-	return complete("", was, is)
+	return checkKeys("", currentValue, nextValue)
 }
 
-func complete(at string, was, is any) error {
-	switch was := was.(type) {
+func checkKeys(path string, current, next any) error {
+	switch current := current.(type) {
 	case map[string]any:
-		m, ok := is.(map[string]any)
+		object, ok := next.(map[string]any)
 		if !ok {
-			return fmt.Errorf("%s: no object", at)
+			return fmt.Errorf("%s: no object", path)
 		}
-		for _, key := range slices.Sorted(maps.Keys(was)) {
-			below, there := m[key]
-			if !there {
-				return fmt.Errorf("%s.%s: missing", at, key)
+		for _, key := range slices.Sorted(maps.Keys(current)) {
+			value, present := object[key]
+			if !present {
+				return fmt.Errorf("%s.%s: missing", path, key)
 			}
-			if err := complete(at+"."+key, was[key], below); err != nil {
+			if err := checkKeys(path+"."+key, current[key], value); err != nil {
 				return err
 			}
 		}
 	case []any:
-		list, ok := is.([]any)
+		list, ok := next.([]any)
 		if !ok {
-			return fmt.Errorf("%s: no list", at)
+			return fmt.Errorf("%s: no list", path)
 		}
-		for i, one := range list {
-			if usual := common(was); usual != nil {
-				if err := complete(fmt.Sprintf("%s[%d]", at, i), usual, one); err != nil {
+		for i, element := range list {
+			if keys := commonKeys(current); keys != nil {
+				if err := checkKeys(fmt.Sprintf("%s[%d]", path, i), keys, element); err != nil {
 					return err
 				}
 			}
@@ -72,22 +72,22 @@
 	return nil
 }
 
-// common is the keys that all objects of a list have, nil where it holds none.
-func common(list []any) any {
+// commonKeys is the keys that all objects of a list have, nil where it holds none.
+func commonKeys(list []any) any {
 	var keys map[string]any
-	for _, one := range list {
-		m, ok := one.(map[string]any)
+	for _, element := range list {
+		object, ok := element.(map[string]any)
 		if !ok {
 			return nil
 		}
 		if keys == nil {
 			keys = map[string]any{}
-			for key := range m { // in any order: it is a set
+			for key := range object { // in any order: it is a set
 				keys[key] = nil
 			}
 		}
 		for key := range keys { // ditto
-			if _, there := m[key]; !there {
+			if _, present := object[key]; !present {
 				delete(keys, key)
 			}
 		}
@@ -111,102 +111,102 @@
 }
 
 // ParseUpdate reads settings that are to follow those in force, and checks them whole; it changes nothing.
-func (o *Instance) ParseUpdate(text []byte, peers int) (*SettingsUpdate, error) {
+func (in *Instance) ParseUpdate(text []byte, peers int) (*SettingsUpdate, error) {
 	if err := CheckSettings(text, peers); err != nil {
 		return nil, err
 	}
-	var to opening
-	if err := json.Unmarshal(text, &to); err != nil {
+	var next settings
+	if err := json.Unmarshal(text, &next); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	place := o.place
+	topology := in.topology
 	for _, rule := range []struct {
-		broken bool
-		key    string
+		invalid bool
+		key     string
 	}{
-		{to.Balancers != place.GatewayCount, "balancers"}, {to.Me != place.GatewayIndex, "me"}, {to.MyZone != place.Zone, "myZone"},
-		{!slices.Equal(to.Zones, place.Zones), "dcs"}, {to.ofItsOwn() != o.own, "limits.secondCopies"},
+		{next.GatewayCount != topology.GatewayCount, "balancers"}, {next.GatewayIndex != topology.GatewayIndex, "me"}, {next.MyZone != topology.Zone, "myZone"},
+		{!slices.Equal(next.Zones, topology.Zones), "dcs"}, {next.gatewayPerClient() != in.gatewayPerClient, "limits.secondCopies"},
 	} {
-		if rule.broken {
+		if rule.invalid {
 			return nil, fmt.Errorf("settings: %s: changes only with a restart", rule.key)
 		}
 	}
-	if len(to.Profiles) == 0 {
+	if len(next.Profiles) == 0 {
 		return nil, fmt.Errorf("settings: profiles: none")
 	}
-	if n := to.Limits.MostHops; n <= 0 || n > hopsMost {
-		return nil, fmt.Errorf("settings: limits.mostHops: %d", n)
+	if maxHops := next.Limits.MaxHops; maxHops <= 0 || maxHops > maxHopsPerTransaction {
+		return nil, fmt.Errorf("settings: limits.mostHops: %d", maxHops)
 	}
-	most, names := longestMost.Microseconds(), map[string]bool{}
-	for _, p := range to.Profiles {
+	maxMicroseconds, seen := maxDurationSetting.Microseconds(), map[string]bool{}
+	for _, profile := range next.Profiles {
 		for _, rule := range []struct {
-			broken bool
-			key    string
+			invalid bool
+			key     string
 		}{
-			{p.Name == "" || names[p.Name], "name"}, {p.HardLimit <= 0 || p.HardLimit > most, "hardLimit"},
-			{p.ServiceGoal <= 0 || p.ServiceGoal > most, "serviceGoal"}, {p.Revenue < 0, "revenue"},
-			{p.Window < 0, "window"},
+			{profile.Name == "" || seen[profile.Name], "name"}, {profile.HardLimit <= 0 || profile.HardLimit > maxMicroseconds, "hardLimit"},
+			{profile.ServiceGoal <= 0 || profile.ServiceGoal > maxMicroseconds, "serviceGoal"}, {profile.Revenue < 0, "revenue"},
+			{profile.DedupWindow < 0, "window"},
 		} {
-			if rule.broken {
-				return nil, fmt.Errorf("settings: profile %q: %s", p.Name, rule.key)
+			if rule.invalid {
+				return nil, fmt.Errorf("settings: profile %q: %s", profile.Name, rule.key)
 			}
 		}
-		names[p.Name] = true
+		seen[profile.Name] = true
 	}
-	r, err := to.rules(o.ask)
+	reloadable, err := next.reloadable(in.listPollInterval)
 	if err != nil {
 		return nil, err
 	}
-	if len(o.known)+len(r.profiles) > placesMost {
-		return nil, fmt.Errorf("settings: profiles: %d known since the start: restart", len(o.known))
+	if len(in.knownProfiles)+len(reloadable.profiles) > maxKnownProfiles {
+		return nil, fmt.Errorf("settings: profiles: %d known since the start: restart", len(in.knownProfiles))
 	}
-	return &SettingsUpdate{r}, nil
+	return &SettingsUpdate{reloadable}, nil
 }
 
 // ApplyUpdate takes settings into force.
-func (o *Instance) ApplyUpdate(now time.Duration, to *SettingsUpdate) {
-	r := &to.rules
-	o.inForce(now, r)
-	o.Core.Reconfigure(now, o.known, r.tenants, r.cold, r.drains, r.hops, r.from, r.price)
+func (in *Instance) ApplyUpdate(now time.Duration, update *SettingsUpdate) {
+	next := &update.settings
+	in.activate(now, next)
+	in.Core.Reconfigure(now, in.knownProfiles, next.tenants, next.coldHosts, next.drain, next.hops, next.sources, next.costs)
 }
 
-// inForce gives places to profiles. One never comes to mean another name or effect: open transactions, and what was learnt, go by
+// activate gives places to profiles. One never comes to mean another name or effect: open transactions, and what was learnt, go by
 // it.
-func (o *Instance) inForce(now time.Duration, r *rules) {
-	known := slices.Clone(o.known) // what is open goes by the one before
-	late := slices.Clone(o.late)
-	for i := range known {
-		if late[i] == 0 {
-			late[i] = now + lateFor
+func (in *Instance) activate(now time.Duration, next *reloadableSettings) {
+	profiles := slices.Clone(in.knownProfiles) // what is open goes by the one before
+	servedUntil := slices.Clone(in.servedUntil)
+	for i := range profiles {
+		if servedUntil[i] == 0 {
+			servedUntil[i] = now + removedProfileTTL
 		}
-		known[i].Removed = true
+		profiles[i].Removed = true
 	}
-	o.ProfileIndexes, o.TenantIndexes, o.marked, o.MaxHardLimit = map[string]int{}, map[string]int{}, map[uint16]int{}, r.longest
-	o.HostListPushed, o.DrainGrace = r.pushed, r.grace
-	for i, p := range known { // those in force win
-		o.marked[markOf(p.Name)] = i
+	in.ProfileIndexes, in.TenantIndexes, in.profileIndexByHash, in.MaxHardLimit = map[string]int{}, map[string]int{}, map[uint16]int{}, next.maxHardLimit
+	in.HostListPushed, in.DrainGrace = next.hostListPushed, next.drainGrace
+	for i, profile := range profiles { // those in force win
+		in.profileIndexByHash[hashProfileName(profile.Name)] = i
 	}
-	for _, p := range r.profiles {
-		i := slices.IndexFunc(known, func(k logic.Profile) bool { return k.Name == p.Name && k.Effect == p.Effect })
+	for _, profile := range next.profiles {
+		i := slices.IndexFunc(profiles, func(known logic.Profile) bool { return known.Name == profile.Name && known.Effect == profile.Effect })
 		if i < 0 {
-			i = len(known)
-			known, late = append(known, p), append(late, 0)
+			i = len(profiles)
+			profiles, servedUntil = append(profiles, profile), append(servedUntil, 0)
 		}
-		known[i], late[i] = p, 0
-		o.ProfileIndexes[p.Name], o.marked[markOf(p.Name)] = i, i
+		profiles[i], servedUntil[i] = profile, 0
+		in.ProfileIndexes[profile.Name], in.profileIndexByHash[hashProfileName(profile.Name)] = i, i
 	}
-	for i, t := range r.tenants {
-		o.TenantIndexes[t.Name] = i
+	for i, tenant := range next.tenants {
+		in.TenantIndexes[tenant.Name] = i
 	}
-	o.known, o.late = known, late
+	in.knownProfiles, in.servedUntil = profiles, servedUntil
 }
 
 // FindProfile is a profile's for what comes with an effect, -1 where the profile has another; known tells whether there is one of
 // that name. What was in force a moment ago is.
-func (o *Instance) FindProfile(now time.Duration, name string, effect logic.Effect) (place int, known bool) {
-	for i := range o.known {
-		if (o.late[i] == 0 || now < o.late[i]) && o.known[i].Name == name {
-			if known = true; o.known[i].Effect == effect {
+func (in *Instance) FindProfile(now time.Duration, name string, effect logic.Effect) (index int, known bool) {
+	for i := range in.knownProfiles {
+		if (in.servedUntil[i] == 0 || now < in.servedUntil[i]) && in.knownProfiles[i].Name == name {
+			if known = true; in.knownProfiles[i].Effect == effect {
 				return i, true
 			}
 		}
--- a/internal/config/retune_test.go
+++ b/internal/config/retune_test.go
@@ -9,26 +9,26 @@
 	"spanmux/logic"
 )
 
-const inForce = `{"discovery":"127.0.0.1:1","known":{"rev":1},"settings":{"balancers":2,"me":0,"myZone":"a","dcs":["a"],` +
+const currentFile = `{"discovery":"127.0.0.1:1","known":{"rev":1},"settings":{"balancers":2,"me":0,"myZone":"a","dcs":["a"],` +
 	`"limits":{"mostHops":3,"mayTell":true},"profiles":[` +
 	`{"name":"read","effect":"idempotent","serviceGoal":200000,"hardLimit":400000,"revenue":1},` +
 	`{"name":"pay","effect":"at_most_once","serviceGoal":200000,"hardLimit":400000,"revenue":1,"note":""}]}}`
 
-// settings is that part of a file.
-func settings(file string) []byte {
+// settingsOf is that part of a file.
+func settingsOf(file string) []byte {
 	_, text, _ := strings.Cut(file, `"settings":`)
 	return []byte(strings.TrimSuffix(text, "}"))
 }
 
 // A file is taken whole or not at all: a broken one is turned down by the key that is at fault.
 func ExampleInstance_ParseUpdate() {
-	in, err := config.Parse(settings(inForce), 0)
+	instance, err := config.Parse(settingsOf(currentFile), 0)
 	if err != nil {
 		panic(err)
 	}
 	for _, change := range [][2]string{
-		{"", ""}, {`"known":{"rev":1},`, ""}, {`"note":""`, `"more":1`}, {`"name":"pay"`, `"name":"buy"`}, {inForce, ""}, {inForce, "{}"},
-		{inForce, "[]"}, {"]}}", "]}"}, {`"discovery":"127.0.0.1:1",`, ""}, {`"revenue":1},`, `"revenue":1`}, {`"hardLimit":400000,`, ""},
+		{"", ""}, {`"known":{"rev":1},`, ""}, {`"note":""`, `"more":1`}, {`"name":"pay"`, `"name":"buy"`}, {currentFile, ""}, {currentFile, "{}"},
+		{currentFile, "[]"}, {"]}}", "]}"}, {`"discovery":"127.0.0.1:1",`, ""}, {`"revenue":1},`, `"revenue":1`}, {`"hardLimit":400000,`, ""},
 		{`"mostHops":3,`, ""}, {`,"limits":{"mostHops":3,"mayTell":true}`, ""}, {`"mostHops":3`, `"mostHops":0`}, {`"mostHops":3`, `"mostHops":-1`},
 		{`"mostHops":3`, `"mostHops":"3"`}, {`"mostHops":3`, `"mostHops":2.5`}, {`"mostHops":3`, `"mostHops":1000000`},
 		{`"hardLimit":400000`, `"hardLimit":0`}, {`"hardLimit":400000`, `"hardLimit":-5`}, {`"hardLimit":400000`, `"hardLimit":NaN`},
@@ -36,12 +36,12 @@
 		{`"effect":"idempotent"`, `"effect":"twice"`}, {`"effect":"idempotent"`, `"effect":"deduplicated"`}, {`"name":"pay"`, `"name":"read"`},
 		{`"revenue":1`, `"revenue":-1`}, {`"me":0`, `"me":1`}, {`"profiles":[`, `"profiles":[],"was":[`},
 	} {
-		text := strings.Replace(inForce, change[0], change[1], 1)
-		err := config.CheckComplete([]byte(inForce), []byte(text), "known")
+		text := strings.Replace(currentFile, change[0], change[1], 1)
+		err := config.CheckComplete([]byte(currentFile), []byte(text), "known")
 		if err == nil {
-			_, err = in.ParseUpdate(settings(text), 2)
+			_, err = instance.ParseUpdate(settingsOf(text), 2)
 		}
-		if len(change[0]) == len(inForce) {
+		if len(change[0]) == len(currentFile) {
 			change[0] = "all"
 		}
 		fmt.Printf("%s -> %s: %v\n", change[0], change[1], err)
@@ -114,30 +114,30 @@
 
 // Gateways that know profiles by other places, as one has been told to drop and add some, do not misread each other.
 func ExampleInstance_DecodePeerMessage() {
-	one, _ := config.Parse(settings(inForce), 0)
-	other, _ := config.Parse(settings(strings.Replace(inForce, `"name":"read"`, `"name":"list"`, 1)), 0)
-	if to, err := other.ParseUpdate(settings(inForce), 2); err == nil {
-		other.Core = stub{}
-		other.ApplyUpdate(time.Second, to)
+	sender, _ := config.Parse(settingsOf(currentFile), 0)
+	receiver, _ := config.Parse(settingsOf(strings.Replace(currentFile, `"name":"read"`, `"name":"list"`, 1)), 0)
+	if update, err := receiver.ParseUpdate(settingsOf(currentFile), 2); err == nil {
+		receiver.Core = stubCore{}
+		receiver.ApplyUpdate(time.Second, update)
 	}
-	for _, k := range []logic.PeerEntry{{Kind: logic.EntryInFlight, Host: 5, InFlight: 3}, {Kind: logic.EntryPickRequest, Profile: 0}, {Kind: logic.EntryHopEnded, Host: 7, Profile: 1}} {
-		for msg := range one.EncodePeerMessages([]logic.PeerEntry{k}) {
-			held, err := other.DecodePeerMessage(msg)
-			fmt.Println(k.Kind, "place", k.Profile, "->", held[0].Kind, "place", held[0].Profile, held[0].Host, held[0].InFlight, err)
+	for _, entry := range []logic.PeerEntry{{Kind: logic.EntryInFlight, Host: 5, InFlight: 3}, {Kind: logic.EntryPickRequest, Profile: 0}, {Kind: logic.EntryHopEnded, Host: 7, Profile: 1}} {
+		for msg := range sender.EncodePeerMessages([]logic.PeerEntry{entry}) {
+			entries, err := receiver.DecodePeerMessage(msg)
+			fmt.Println(entry.Kind, "place", entry.Profile, "->", entries[0].Kind, "place", entries[0].Profile, entries[0].Host, entries[0].InFlight, err)
 		}
 	}
-	for msg := range other.EncodePeerMessages([]logic.PeerEntry{{Kind: logic.EntryPickRequest, Profile: 0}, {Kind: logic.EntryInFlight, Host: 5}}) {
-		held, err := one.DecodePeerMessage(msg)
-		fmt.Println("one that is not known here is left out:", len(held), err)
+	for msg := range receiver.EncodePeerMessages([]logic.PeerEntry{{Kind: logic.EntryPickRequest, Profile: 0}, {Kind: logic.EntryInFlight, Host: 5}}) {
+		entries, err := sender.DecodePeerMessage(msg)
+		fmt.Println("one that is not known here is left out:", len(entries), err)
 	}
-	place := func(now time.Duration, name string, effect logic.Effect) {
+	find := func(now time.Duration, name string, effect logic.Effect) {
 		fmt.Print(name, " ", effect, ": ")
-		fmt.Println(other.FindProfile(now, name, effect))
+		fmt.Println(receiver.FindProfile(now, name, effect))
 	}
-	place(2*time.Second, "list", logic.Idempotent)
-	place(3*time.Second, "list", logic.Idempotent)
-	place(3*time.Second, "read", logic.Idempotent)
-	place(3*time.Second, "read", logic.Journalled)
+	find(2*time.Second, "list", logic.Idempotent)
+	find(3*time.Second, "list", logic.Idempotent)
+	find(3*time.Second, "read", logic.Idempotent)
+	find(3*time.Second, "read", logic.Journalled)
 	// Output:
 	// 0 place 0 -> 0 place 0 5 3 <nil>
 	// 3 place 0 -> 3 place 2 0 0 <nil>
@@ -149,8 +149,8 @@
 	// read 1: -1 true
 }
 
-// stub decides nothing.
-type stub struct{ logic.Core }
+// stubCore decides nothing.
+type stubCore struct{ logic.Core }
 
-func (stub) Reconfigure(time.Duration, []logic.Profile, []logic.Tenant, logic.ColdHostRule, logic.DrainRule, logic.HopRule, logic.InformationSources, logic.CostModel) {
+func (stubCore) Reconfigure(time.Duration, []logic.Profile, []logic.Tenant, logic.ColdHostRule, logic.DrainRule, logic.HopRule, logic.InformationSources, logic.CostModel) {
 }
--- a/internal/config/shape_test.go
+++ b/internal/config/shape_test.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	pool = `{"balancers":4,"me":1,"limits":{"secondCopies":true,"mayTell":true,"probes":true,"streamsPerConn":1},` +
+	poolSettings = `{"balancers":4,"me":1,"limits":{"secondCopies":true,"mayTell":true,"probes":true,"streamsPerConn":1},` +
 		`"report":{"via":"probe","fields":["rif","q"]},"blend":{"whole":0.6},"prices":{"connection":0.0}}`
-	own = `{"balancers":300,"me":1,"limits":{"secondCopies":false,"mayTell":false,"probes":true,"streamsPerConn":100},` +
+	perClientSettings = `{"balancers":300,"me":1,"limits":{"secondCopies":false,"mayTell":false,"probes":true,"streamsPerConn":100},` +
 		`"report":{"via":"answers","fields":["busy","rif"]},"prices":{"connection":0.05},` +
 		`"blend":{"availability":0.2,"fullAtNines":2.0}}`
-	quiet = `{"balancers":36,"me":1,"limits":{"secondCopies":true,"mayTell":false,"probes":false,"streamsPerConn":1,"responseRoom":7},` +
+	withoutPeersSettings = `{"balancers":36,"me":1,"limits":{"secondCopies":true,"mayTell":false,"probes":false,"streamsPerConn":1,"responseRoom":7},` +
 		`"prices":{"connection":0.0,"handshake":0.02},"obligations":{"closeOnDrainWithin":500000,"budgetError":2000000,` +
 		`"startError":0,"onlyDrainingBinds":true}}`
 )
@@ -26,25 +26,25 @@
 		text := strings.NewReplacer(change...).Replace(settings)
 		fmt.Printf("%s (%d peers): %v\n", strings.Join(change, " to "), peers, config.CheckSettings([]byte(text), peers))
 	}
-	check(pool, 4)
-	check(own, 0)
-	check(quiet, 0)
+	check(poolSettings, 4)
+	check(perClientSettings, 0)
+	check(withoutPeersSettings, 0)
 	check(`{"balancers":1}`, 0)
-	check(pool, 4, `"connection":0.0`, `"connection":0.05`)
-	check(pool, 4, `"whole":0.6`, `"availability":0.2,"fullAtNines":2`)
-	check(pool, 4, `"streamsPerConn":1`, `"streamsPerConn":100`)
-	check(pool, 4, `"secondCopies":true`, `"secondCopies":false`)
-	check(own, 300, `"mayTell":false`, `"mayTell":true`)
-	check(own, 0, `answers`, `probe`)
-	check(own, 300)
-	check(quiet, 3)
-	check(own, 0, `answers`, `rumour`)
-	check(own, 0, `,"fullAtNines":2.0`, ``)
-	check(own, 0, `"busy"`, `"load"`)
-	check(own, 0, `"me":1`, `"me":300`)
-	check(pool, 4, `"balancers":4`, `"balancers":0`)
-	check(pool, 4, `"streamsPerConn":1`, `"streamsPerConn":-1`)
-	check(pool, 4, `"connection":0.0`, `"connection":-0.1`)
+	check(poolSettings, 4, `"connection":0.0`, `"connection":0.05`)
+	check(poolSettings, 4, `"whole":0.6`, `"availability":0.2,"fullAtNines":2`)
+	check(poolSettings, 4, `"streamsPerConn":1`, `"streamsPerConn":100`)
+	check(poolSettings, 4, `"secondCopies":true`, `"secondCopies":false`)
+	check(perClientSettings, 300, `"mayTell":false`, `"mayTell":true`)
+	check(perClientSettings, 0, `answers`, `probe`)
+	check(perClientSettings, 300)
+	check(withoutPeersSettings, 3)
+	check(perClientSettings, 0, `answers`, `rumour`)
+	check(perClientSettings, 0, `,"fullAtNines":2.0`, ``)
+	check(perClientSettings, 0, `"busy"`, `"load"`)
+	check(perClientSettings, 0, `"me":1`, `"me":300`)
+	check(poolSettings, 4, `"balancers":4`, `"balancers":0`)
+	check(poolSettings, 4, `"streamsPerConn":1`, `"streamsPerConn":-1`)
+	check(poolSettings, 4, `"connection":0.0`, `"connection":-0.1`)
 	// Output:
 	// (4 peers): <nil>
 	//  (0 peers): <nil>
@@ -69,7 +69,7 @@
 
 // What is not an object is refused as well.
 func ExampleCheckSettings_torn() {
-	fmt.Println(config.CheckSettings([]byte(pool[:9]), 4))
+	fmt.Println(config.CheckSettings([]byte(poolSettings[:9]), 4))
 	// Output: settings: unexpected end of JSON input
 }
 
--- a/internal/config/size_test.go
+++ b/internal/config/size_test.go
@@ -11,16 +11,16 @@
 	"spanmux/logic"
 )
 
-// largeFleet is how many gateways, and how many hosts, no part of the program may fall short of.
-const largeFleet = 1024
+// largeFleetSize is how many gateways, and how many hosts, no part of the program may fall short of.
+const largeFleetSize = 1024
 
-// largeSettings is those of a gateway among so many, with a zone for each host.
-func largeSettings(me int) []byte {
-	zones := make([]string, largeFleet)
+// largeFleetSettings is those of a gateway among so many, with a zone for each host.
+func largeFleetSettings(gatewayIndex int) []byte {
+	zones := make([]string, largeFleetSize)
 	for i := range zones {
 		zones[i] = fmt.Sprintf("zone-%04d", i)
 	}
-	text, err := json.Marshal(map[string]any{"balancers": largeFleet, "me": me, "dcs": zones, "myZone": zones[0], "discovery": "subscribe",
+	text, err := json.Marshal(map[string]any{"balancers": largeFleetSize, "me": gatewayIndex, "dcs": zones, "myZone": zones[0], "discovery": "subscribe",
 		"limits":   map[string]any{"mostHops": 3, "mayTell": true},
 		"profiles": []map[string]any{{"name": "read", "effect": "idempotent", "serviceGoal": 400000, "hardLimit": 2000000, "revenue": 1}}})
 	if err != nil {
@@ -31,18 +31,18 @@
 
 // The settings of the first and of the last of so many gateways are sound.
 func TestCheckLargeFleet(t *testing.T) {
-	for _, me := range []int{0, largeFleet - 1} {
-		if err := config.CheckSettings(largeSettings(me), largeFleet); err != nil {
+	for _, gatewayIndex := range []int{0, largeFleetSize - 1} {
+		if err := config.CheckSettings(largeFleetSettings(gatewayIndex), largeFleetSize); err != nil {
 			t.Error(err)
 		}
-		opened, err := config.Parse(largeSettings(me), time.Second)
+		instance, err := config.Parse(largeFleetSettings(gatewayIndex), time.Second)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if opened.GatewayCount != largeFleet || opened.GatewayIndex != me {
-			t.Errorf("gateway %d of %d", opened.GatewayIndex, opened.GatewayCount)
+		if instance.GatewayCount != largeFleetSize || instance.GatewayIndex != gatewayIndex {
+			t.Errorf("gateway %d of %d", instance.GatewayIndex, instance.GatewayCount)
 		}
-		if _, err := opened.ParseUpdate(largeSettings(me), largeFleet); err != nil {
+		if _, err := instance.ParseUpdate(largeFleetSettings(gatewayIndex), largeFleetSize); err != nil {
 			t.Error(err)
 		}
 	}
@@ -52,36 +52,36 @@
 // asked. Hops were told up to 255 only: a host with one hop of each of a thousand gateways looked like one with a quarter of that, and all
 // zones from the 256th on like one.
 func TestMessagesLargeFleet(t *testing.T) {
-	opened, err := config.Parse(largeSettings(0), time.Second)
+	instance, err := config.Parse(largeFleetSettings(0), time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, kind := range []logic.PeerEntryKind{logic.EntryInFlight, logic.EntryAggregate, logic.EntryHopEnded, logic.EntryPickRequest, logic.EntryPickResponse} {
-		var told, read []logic.PeerEntry
-		for i := range largeFleet {
-			k := logic.PeerEntry{Kind: kind, Host: logic.HostID(1 + i<<22), InFlight: i}
+		var sent, received []logic.PeerEntry
+		for i := range largeFleetSize {
+			entry := logic.PeerEntry{Kind: kind, Host: logic.HostID(1 + i<<22), InFlight: i}
 			if kind == logic.EntryHopEnded {
-				k.Outcome, k.Latency = logic.HopOutcome(i%int(logic.HopNotSent+1)), time.Duration(i)*time.Millisecond
+				entry.Outcome, entry.Latency = logic.HopOutcome(i%int(logic.HopNotSent+1)), time.Duration(i)*time.Millisecond
 			}
-			told = append(told, k)
+			sent = append(sent, entry)
 		}
 		messages := 0
-		for msg := range opened.EncodePeerMessages(told) {
+		for msg := range instance.EncodePeerMessages(sent) {
 			if messages++; len(msg) > config.MaxPeerMessageBytes {
 				t.Errorf("kind %d: a message of %d bytes", kind, len(msg))
 			}
-			held, err := opened.DecodePeerMessage(msg)
+			entries, err := instance.DecodePeerMessage(msg)
 			if err != nil {
 				t.Errorf("kind %d: %v", kind, err)
 			}
-			read = append(read, held...)
+			received = append(received, entries...)
 		}
-		if !slices.Equal(read, told) {
+		if !slices.Equal(received, sent) {
 			i := 0
-			for i < len(read) && read[i] == told[i] {
+			for i < len(received) && received[i] == sent[i] {
 				i++
 			}
-			t.Errorf("kind %d: from host %d on something else is read than was told: %+v", kind, i, read[i])
+			t.Errorf("kind %d: from host %d on something else is read than was told: %+v", kind, i, received[i])
 		}
 		if messages != 41 {
 			t.Errorf("kind %d: %d messages", kind, messages)
@@ -91,14 +91,14 @@
 
 // More hops than fit are told as the most that do.
 func TestMessagesManyHops(t *testing.T) {
-	opened, err := config.Parse(largeSettings(0), time.Second)
+	instance, err := config.Parse(largeFleetSettings(0), time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for msg := range opened.EncodePeerMessages([]logic.PeerEntry{{Kind: logic.EntryHopEnded, Host: 7, InFlight: 5000, Outcome: logic.HopNotSent}}) {
-		held, err := opened.DecodePeerMessage(msg)
-		if err != nil || len(held) != 1 || held[0].InFlight != 1023 || held[0].Outcome != logic.HopNotSent || held[0].Kind != logic.EntryHopEnded {
-			t.Errorf("read as %+v, %v", held, err)
+	for msg := range instance.EncodePeerMessages([]logic.PeerEntry{{Kind: logic.EntryHopEnded, Host: 7, InFlight: 5000, Outcome: logic.HopNotSent}}) {
+		entries, err := instance.DecodePeerMessage(msg)
+		if err != nil || len(entries) != 1 || entries[0].InFlight != 1023 || entries[0].Outcome != logic.HopNotSent || entries[0].Kind != logic.EntryHopEnded {
+			t.Errorf("read as %+v, %v", entries, err)
 		}
 	}
 }
@@ -106,19 +106,19 @@
 // Up to 255 hops a message is what it was before more could be told, so that gateways of both builds understand each other; kinds that
 // there are none of are refused as before.
 func TestMessagesOfEarlierBuild(t *testing.T) {
-	opened, err := config.Parse(largeSettings(0), time.Second)
+	instance, err := config.Parse(largeFleetSettings(0), time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for msg := range opened.EncodePeerMessages([]logic.PeerEntry{{Kind: logic.EntryHopEnded, Host: 0x04030201, InFlight: 255, Outcome: logic.HopNotSent, Latency: time.Second}}) {
+	for msg := range instance.EncodePeerMessages([]logic.PeerEntry{{Kind: logic.EntryHopEnded, Host: 0x04030201, InFlight: 255, Outcome: logic.HopNotSent, Latency: time.Second}}) {
 		if text := fmt.Sprintf("%x", msg); text[:12] != "01020304ff27" || text[16:] != "1027" {
 			t.Errorf("written as %s", text)
 		}
 	}
 	for kind := logic.EntryPickResponse + 1; kind < 8; kind++ {
-		for _, high := range []byte{0, 0x88} {
-			if held, err := opened.DecodePeerMessage([]byte{1, 0, 0, 0, 1, byte(kind)<<4 | high, 0, 0, 0, 0}); err == nil {
-				t.Errorf("kind %d is read as %+v", kind, held)
+		for _, highHopBits := range []byte{0, 0x88} {
+			if entries, err := instance.DecodePeerMessage([]byte{1, 0, 0, 0, 1, byte(kind)<<4 | highHopBits, 0, 0, 0, 0}); err == nil {
+				t.Errorf("kind %d is read as %+v", kind, entries)
 			}
 		}
 	}
--- a/internal/invariant/debug.go
+++ b/internal/invariant/debug.go
@@ -2,4 +2,4 @@
 
 package invariant
 
-const asserting = true
+const panicOnViolation = true
--- a/internal/invariant/must.go
+++ b/internal/invariant/must.go
@@ -10,14 +10,14 @@
 var Violations atomic.Int64
 
 // Check takes note if something that must hold does not.
-func Check(ok bool, what string) {
+func Check(ok bool, description string) {
 	if ok {
 		return
 	}
-	if asserting {
-		panic("must hold: " + what)
+	if panicOnViolation {
+		panic("must hold: " + description)
 	}
 	if Violations.Add(1) <= 100 { // enough to find the cause, too few to fill a disk
-		slog.Error("must hold", "what", what)
+		slog.Error("must hold", "what", description)
 	}
 }
--- a/internal/invariant/release.go
+++ b/internal/invariant/release.go
@@ -2,4 +2,4 @@
 
 package invariant
 
-const asserting = false
+const panicOnViolation = false
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -74,7 +74,7 @@
 	}
 	// Output:
 	// error: line 2: timeout_fired for "gateway/0", which has not started
-	// error: line 2: settings: json: cannot unmarshal string into Go struct field opening.balancers of type int
+	// error: line 2: settings: json: cannot unmarshal string into Go struct field settings.balancers of type int
 	// error: line 2: settings: profile x: unknown effect "twice"
 	// error: line 1: "soon" is not a whole number
 	// error: line 1: event "timeout_fired" outside a batch
