--- /dev/null
+++ b/internal/config/update.go
@@ -0,0 +1,215 @@
+package config
+
+import (
+	"encoding/json"
+	"fmt"
+	"maps"
+	"net"
+	"slices"
+	"time"
+
+	"spanmux/logic"
+)
+
+const (
+	removedProfileTTL     = 1500 * time.Millisecond // for which what was in force is served: clients hear of a change late
+	maxKnownProfiles      = 256                     // profiles that one process may have known, each by effect: far over any use
+	maxDurationSetting    = time.Hour               // of a hard limit or service goal: a longer one has its units wrong
+	maxHopsPerTransaction = 1000                    // of one transaction, ditto
+	maxAvailabilityNines  = 20                      // tenfold steps: no share is that small
+)
+
+// SettingsUpdate is settings that were checked whole and are not in force yet.
+type SettingsUpdate struct{ settings reloadableSettings }
+
+// CheckComplete tells whether a text holds every key of the one in force, those left out by name aside. What is missing was more likely
+// lost on the way than meant.
+func CheckComplete(current, next []byte, optional ...string) error {
+	var currentValue, nextValue any
+	if err := json.Unmarshal(next, &nextValue); err != nil {
+		return err
+	}
+	if err := json.Unmarshal(current, &currentValue); err != nil {
+		return err
+	}
+	if object, ok := currentValue.(map[string]any); ok {
+		for _, key := range optional {
+			delete(object, key)
+		}
+	}
+	return checkKeys("", currentValue, nextValue)
+}
+
+func checkKeys(path string, current, next any) error {
+	switch current := current.(type) {
+	case map[string]any:
+		object, ok := next.(map[string]any)
+		if !ok {
+			return fmt.Errorf("%s: no object", path)
+		}
+		for _, key := range slices.Sorted(maps.Keys(current)) {
+			value, present := object[key]
+			if !present {
+				return fmt.Errorf("%s.%s: missing", path, key)
+			}
+			if err := checkKeys(path+"."+key, current[key], value); err != nil {
+				return err
+			}
+		}
+	case []any:
+		list, ok := next.([]any)
+		if !ok {
+			return fmt.Errorf("%s: no list", path)
+		}
+		for i, element := range list {
+			if keys := commonKeys(current); keys != nil {
+				if err := checkKeys(fmt.Sprintf("%s[%d]", path, i), keys, element); err != nil {
+					return err
+				}
+			}
+		}
+	}
+	return nil
+}
+
+// commonKeys is the keys that all objects of a list have, nil where it holds none.
+func commonKeys(list []any) any {
+	var keys map[string]any
+	for _, element := range list {
+		object, ok := element.(map[string]any)
+		if !ok {
+			return nil
+		}
+		if keys == nil {
+			keys = map[string]any{}
+			for key := range object { // in any order: it is a set
+				keys[key] = nil
+			}
+		}
+		for key := range keys { // ditto
+			if _, present := object[key]; !present {
+				delete(keys, key)
+			}
+		}
+	}
+	if keys == nil {
+		return nil
+	}
+	return keys
+}
+
+// CheckAddress checks an address to call.
+func CheckAddress(key, addr string) error {
+	_, port, err := net.SplitHostPort(addr)
+	if err == nil && port == "" {
+		err = fmt.Errorf("no port in %q", addr)
+	}
+	if err != nil {
+		return fmt.Errorf("%s: %w", key, err)
+	}
+	return nil
+}
+
+// ParseUpdate reads settings that are to follow those in force, and checks them whole; it changes nothing.
+func (in *Instance) ParseUpdate(text []byte, peers int) (*SettingsUpdate, error) {
+	if err := CheckSettings(text, peers); err != nil {
+		return nil, err
+	}
+	var next settings
+	if err := json.Unmarshal(text, &next); err != nil {
+		return nil, fmt.Errorf("settings: %w", err)
+	}
+	topology := in.topology
+	for _, rule := range []struct {
+		invalid bool
+		key     string
+	}{
+		{next.GatewayCount != topology.GatewayCount, "balancers"}, {next.GatewayIndex != topology.GatewayIndex, "me"}, {next.MyZone != topology.Zone, "myZone"},
+		{!slices.Equal(next.Zones, topology.Zones), "dcs"}, {next.gatewayPerClient() != in.gatewayPerClient, "limits.secondCopies"},
+	} {
+		if rule.invalid {
+			return nil, fmt.Errorf("settings: %s: changes only with a restart", rule.key)
+		}
+	}
+	if len(next.Profiles) == 0 {
+		return nil, fmt.Errorf("settings: profiles: none")
+	}
+	if maxHops := next.Limits.MaxHops; maxHops <= 0 || maxHops > maxHopsPerTransaction {
+		return nil, fmt.Errorf("settings: limits.mostHops: %d", maxHops)
+	}
+	maxMicroseconds, seen := maxDurationSetting.Microseconds(), map[string]bool{}
+	for _, profile := range next.Profiles {
+		for _, rule := range []struct {
+			invalid bool
+			key     string
+		}{
+			{profile.Name == "" || seen[profile.Name], "name"}, {profile.HardLimit <= 0 || profile.HardLimit > maxMicroseconds, "hardLimit"},
+			{profile.ServiceGoal <= 0 || profile.ServiceGoal > maxMicroseconds, "serviceGoal"}, {profile.Revenue < 0, "revenue"},
+			{profile.DedupWindow < 0, "window"},
+		} {
+			if rule.invalid {
+				return nil, fmt.Errorf("settings: profile %q: %s", profile.Name, rule.key)
+			}
+		}
+		seen[profile.Name] = true
+	}
+	reloadable, err := next.reloadable(in.listPollInterval)
+	if err != nil {
+		return nil, err
+	}
+	if len(in.knownProfiles)+len(reloadable.profiles) > maxKnownProfiles {
+		return nil, fmt.Errorf("settings: profiles: %d known since the start: restart", len(in.knownProfiles))
+	}
+	return &SettingsUpdate{reloadable}, nil
+}
+
+// ApplyUpdate takes settings into force.
+func (in *Instance) ApplyUpdate(now time.Duration, update *SettingsUpdate) {
+	next := &update.settings
+	in.activate(now, next)
+	in.Core.Reconfigure(now, in.knownProfiles, next.tenants, next.coldHosts, next.drain, next.hops, next.sources, next.costs)
+}
+
+// activate gives places to profiles. One never comes to mean another name or effect: open transactions, and what was learnt, go by
+// it.
+func (in *Instance) activate(now time.Duration, next *reloadableSettings) {
+	profiles := slices.Clone(in.knownProfiles) // what is open goes by the one before
+	servedUntil := slices.Clone(in.servedUntil)
+	for i := range profiles {
+		if servedUntil[i] == 0 {
+			servedUntil[i] = now + removedProfileTTL
+		}
+		profiles[i].Removed = true
+	}
+	in.ProfileIndexes, in.TenantIndexes, in.profileIndexByHash, in.MaxHardLimit = map[string]int{}, map[string]int{}, map[uint16]int{}, next.maxHardLimit
+	in.HostListPushed, in.DrainGrace = next.hostListPushed, next.drainGrace
+	for i, profile := range profiles { // those in force win
+		in.profileIndexByHash[hashProfileName(profile.Name)] = i
+	}
+	for _, profile := range next.profiles {
+		i := slices.IndexFunc(profiles, func(known logic.Profile) bool { return known.Name == profile.Name && known.Effect == profile.Effect })
+		if i < 0 {
+			i = len(profiles)
+			profiles, servedUntil = append(profiles, profile), append(servedUntil, 0)
+		}
+		profiles[i], servedUntil[i] = profile, 0
+		in.ProfileIndexes[profile.Name], in.profileIndexByHash[hashProfileName(profile.Name)] = i, i
+	}
+	for i, tenant := range next.tenants {
+		in.TenantIndexes[tenant.Name] = i
+	}
+	in.knownProfiles, in.servedUntil = profiles, servedUntil
+}
+
+// FindProfile is a profile's for what comes with an effect, -1 where the profile has another; known tells whether there is one of
+// that name. What was in force a moment ago is.
+func (in *Instance) FindProfile(now time.Duration, name string, effect logic.Effect) (index int, known bool) {
+	for i := range in.knownProfiles {
+		if (in.servedUntil[i] == 0 || now < in.servedUntil[i]) && in.knownProfiles[i].Name == name {
+			if known = true; in.knownProfiles[i].Effect == effect {
+				return i, true
+			}
+		}
+	}
+	return -1, known
+}
