--- a/internal/routing/admit.go
+++ b/internal/routing/admit.go
@@ -13,52 +13,52 @@
 // connection ends.
 func (d *Dispatcher) admit(t *tx) bool {
 	d.mu.Lock()
-	t.tally = d.tallies[t.said.Profile]
-	place, known := d.opened.FindProfile(d.now(), t.said.Profile, t.said.Effect)
+	t.counters = d.profileCounters[t.request.Profile]
+	profileIndex, known := d.core.FindProfile(d.now(), t.request.Profile, t.request.Effect)
 	d.mu.Unlock()
-	wrong := ""
+	reason := ""
 	switch {
 	case !known:
-		wrong = "unknown profile"
-	case place < 0:
+		reason = "unknown profile"
+	case profileIndex < 0:
 		// Taken by its method it might run twice; a profile's repeats are only known by their mark.
-		wrong = "method or mark not of this profile"
+		reason = "method or mark not of this profile"
 	case t.client.OverLimit:
 		d.Counters.RejectedBeforeAdmission.Add(1)
-		t.tally.rolledBack.Add(1)
-		over := protocol.TextResponse(503, "no room\n", 0, true)
-		if t.said.RemainingBody == nil {
-			t.client.WriteFinal(over)
-		} else if t.client.Write(over) == nil { // it may be whole, and only not read: then it is owed this answer
+		t.counters.rolledBack.Add(1)
+		response := protocol.TextResponse(503, "no room\n", 0, true)
+		if t.request.RemainingBody == nil {
+			t.client.WriteFinal(response)
+		} else if t.client.Write(response) == nil { // it may be whole, and only not read: then it is owed this answer
 			t.client.CloseWrite()
 			t.client.DiscardInput()
 		}
 		return false
 	}
-	if wrong != "" {
-		d.Counters.wrong(wrong, slog.String("profile", t.said.Profile))
-		if t.tally != nil {
-			t.tally.aborted.Add(1)
+	if reason != "" {
+		d.Counters.recordInvalidInput(reason, slog.String("profile", t.request.Profile))
+		if t.counters != nil {
+			t.counters.aborted.Add(1)
 		}
-		t.client.WriteFinal(protocol.TextResponse(400, wrong+"\n", 0, true))
+		t.client.WriteFinal(protocol.TextResponse(400, reason+"\n", 0, true))
 		return false
 	}
-	if !d.take(t, place, max(t.said.Budget-timeAside, time.Millisecond)) {
-		d.Counters.wrong("id of a transaction that is open", slog.String("trace", t.said.TraceID))
-		t.tally.aborted.Add(1)
+	if !d.startTransaction(t, profileIndex, max(t.request.Budget-responseTimeReserve, time.Millisecond)) {
+		d.Counters.recordInvalidInput("id of a transaction that is open", slog.String("trace", t.request.TraceID))
+		t.counters.aborted.Add(1)
 		t.client.WriteFinal(protocol.TextResponse(409, "its id is that of another\n", 0, true))
 		return false
 	}
 	return true
 }
 
-// arrival is a transaction as the module takes it; under the lock, as tenants may change.
-func (d *Dispatcher) arrival(said *protocol.Transaction, profile int, budget time.Duration) logic.Arrival {
-	a := logic.Arrival{ProfileIndex: profile, TenantIndex: -1, Budget: budget, BodyPending: said.RemainingBody != nil}
-	if d.opened.KeyAffinity && len(said.Object) > 0 {
-		a.AffinityKey = crc32.ChecksumIEEE(said.Object) | 1
+// newArrival is a transaction as the module takes it; under the lock, as tenants may change.
+func (d *Dispatcher) newArrival(request *protocol.Transaction, profileIndex int, budget time.Duration) logic.Arrival {
+	a := logic.Arrival{ProfileIndex: profileIndex, TenantIndex: -1, Budget: budget, BodyPending: request.RemainingBody != nil}
+	if d.core.KeyAffinity && len(request.Object) > 0 {
+		a.AffinityKey = crc32.ChecksumIEEE(request.Object) | 1
 	}
-	if tenant, ok := d.opened.TenantIndexes[said.Tenant]; ok {
+	if tenant, ok := d.core.TenantIndexes[request.Tenant]; ok {
 		a.TenantIndex = tenant
 	}
 	return a
--- a/internal/routing/daily_test.go
+++ b/internal/routing/daily_test.go
@@ -81,7 +81,7 @@
 	fmt.Println(string(s.MetricsJSON()))
 	c.Close()
 	s.untilLine("one: given up")
-	s.decide(func(time.Duration) { s.list.addr[7] = "127.0.0.1:1" })
+	s.callCore(func(time.Duration) { s.discovery.addrByID[7] = "127.0.0.1:1" })
 	fmt.Println(string(s.MetricsJSON()))
 	// Output:
 	// {"succeeded":{"order":0,"pay":2,"read":0},"declined":{"order":0,"pay":1,"read":0},"aborted":{"order":0,"pay":2,"read":1},"forwards":6,"outstanding":1,"discovered":2,"ejected":0,"sighup_applied":0,"sighup_rejected":0}
@@ -100,16 +100,16 @@
 	begins := func(what string) {
 		s := play("one")
 		fmt.Println(what, s.ListenForHandover(path))
-		s.decide(func(now time.Duration) {
-			s.opened.HostListReceived(now, logic.ListComplete, []logic.Host{{ID: 1, Kind: "box", Zone: "a", State: logic.HostReady}})
-			s.learn(now)
-			fmt.Println("profiles learnt:", len(s.opened.ExportLearned(now).Profiles))
+		s.callCore(func(now time.Duration) {
+			s.core.HostListReceived(now, logic.ListComplete, []logic.Host{{ID: 1, Kind: "box", Zone: "a", State: logic.HostReady}})
+			s.importPredecessorState(now)
+			fmt.Println("profiles learnt:", len(s.core.ExportLearned(now).Profiles))
 		})
 	}
 	begins("nobody before:")
 	before := play("one")
 	before.ask("read", "go")
-	before.decide(func(now time.Duration) { fmt.Print("learns: ", len(before.opened.ExportLearned(now).Profiles), " ") })
+	before.callCore(func(now time.Duration) { fmt.Print("learns: ", len(before.core.ExportLearned(now).Profiles), " ") })
 	fmt.Println(before.ListenForHandover(path))
 	begins("one before:")
 	for what, says := range map[string]string{"says nothing": "", "nonsense": "\x01\x00\x00\x00\x05abcde", "too much": "\x01\xff\xff\xff\xff", "silent": "-"} {
@@ -127,8 +127,8 @@
 		}()
 		s, began := play("one"), time.Now()
 		err = s.ListenForHandover(path)
-		if err != nil || !s.learnt.at.IsZero() || time.Since(began) > 2*time.Second {
-			fmt.Println(what, err, s.learnt.at, time.Since(began))
+		if err != nil || !s.predecessor.receivedAt.IsZero() || time.Since(began) > 2*time.Second {
+			fmt.Println(what, err, s.predecessor.receivedAt, time.Since(began))
 		}
 		ln.Close()
 	}
@@ -143,17 +143,17 @@
 // Asks for a host and their answers are counted, so that it shows when the gateway that draws has fallen silent.
 func ExampleDispatcher_SendPeerMessage_asks() {
 	s := play("one")
-	s.decide(func(time.Duration) {
+	s.callCore(func(time.Duration) {
 		s.SendPeerMessage(1, []logic.PeerEntry{{Kind: logic.EntryPickRequest, InFlight: 1}, {Kind: logic.EntryPickRequest}, {Kind: logic.EntryInFlight}})
 	})
 	var at netip.AddrPort
-	for addr, number := range s.tells.number { // in any order: one is the other gateway's
+	for addr, number := range s.peers.indexByAddr { // in any order: one is the other gateway's
 		if number == 1 {
 			at = addr
 		}
 	}
-	for msg := range s.opened.EncodePeerMessages([]logic.PeerEntry{{Kind: logic.EntryPickResponse}, {Kind: logic.EntryInFlight, Host: 1}}) {
-		s.told(at, msg)
+	for msg := range s.core.EncodePeerMessages([]logic.PeerEntry{{Kind: logic.EntryPickResponse}, {Kind: logic.EntryInFlight, Host: 1}}) {
+		s.datagramReceived(at, msg)
 	}
 	fmt.Println("asks:", s.Counters.PickRequests.Load(), "answered:", s.Counters.PickResponses.Load(), "told:", s.Counters.PeerMessagesReceived.Load())
 	// Output: asks: 2 answered: 1 told: 1
--- a/internal/routing/endings_test.go
+++ b/internal/routing/endings_test.go
@@ -27,7 +27,7 @@
 func playGated(cancelling bool, hosts ...string) *gated {
 	s := &gated{playBy(strings.Replace(settings, `"cancelling":true`, fmt.Sprintf(`"cancelling":%t`, cancelling), 1), hosts...),
 		make(chan bool, 9), make(chan bool)}
-	s.decide(func(time.Duration) {
+	s.callCore(func(time.Duration) {
 		s.pool.Dial = func(_ context.Context, network, addr string) (net.Conn, error) {
 			s.dials <- true
 			<-s.gate
@@ -128,7 +128,7 @@
 		io.WriteString(c, text("pay", "go", ""))
 		leaves[how](c)
 	}
-	go s.listener.Serve(s.client)
+	go s.listener.Serve(s.serveClient)
 	s.until("all closed", func() bool { return s.listener.Accepted.Load() == 3 && s.listener.OpenClients() == 0 })
 	fmt.Println("taken:", s.Counters.Admitted.Load(), "sent:", s.Counters.Hops.Load(), s.never())
 	// Output: taken: 0 sent: 0 false
@@ -139,7 +139,7 @@
 func Example_leavesWithinBody() {
 	for _, up := range []bool{false, true} {
 		s := playGated(false, "one")
-		s.large.Store(0) // no room to hold any
+		s.bodyBudget.Store(0) // no room to hold any
 		c := s.dial()
 		io.WriteString(c, strings.Replace(text("pay", "go", ""), "Length: 2", "Length: 100000", 1)+strings.Repeat("a", 50_000))
 		<-s.dials
@@ -148,7 +148,7 @@
 			s.until("body on its way", func() bool {
 				s.Dispatcher.mu.Lock()
 				defer s.Dispatcher.mu.Unlock()
-				return len(s.txs) == 1 && s.txs[1].passed
+				return len(s.txs) == 1 && s.txs[1].bodyForwarded
 			})
 		}
 		c.Close()
@@ -169,7 +169,7 @@
 // hop that is out ends.
 func Example_leavesInModule() {
 	s := playBy(strings.Replace(settings, `"balancers":2`, `"me":1,"balancers":21`, 1), "one")
-	s.decide(func(time.Duration) { // from here on the module's time goes on as the test has it
+	s.callCore(func(time.Duration) { // from here on the module's time goes on as the test has it
 		s.timer.Stop()
 		s.timer = time.AfterFunc(time.Hour, func() {})
 	})
@@ -179,7 +179,7 @@
 	c.Close()
 	s.untilLeft(1)
 	for end := time.Now().Add(300 * time.Millisecond); time.Now().Before(end); { // its wait is over within
-		s.decide(func(now time.Duration) { s.opened.TimerFired(now) })
+		s.callCore(func(now time.Duration) { s.core.TimerFired(now) })
 	}
 	fmt.Println("asks unanswered, sent:", s.Counters.Hops.Load())
 
@@ -192,7 +192,7 @@
 	})
 	other := entry
 	other.UID = "other"
-	s.takeList(s.list.line, logic.ListComplete, &protocol.HostList{Revision: 5, Full: true, Hosts: []protocol.HostEntry{entry, other}})
+	s.applyList(s.discovery.conn, logic.ListComplete, &protocol.HostList{Revision: 5, Full: true, Hosts: []protocol.HostEntry{entry, other}})
 	c = s.dial()
 	io.WriteString(c, text("pay", "go", ""))
 	s.untilLine("has it")
@@ -214,10 +214,10 @@
 	io.WriteString(c, text("pay", "go", ""))
 	<-s.dials
 	var first logic.HostID
-	s.decide(func(time.Duration) { first = s.txs[1].hops[0].host })
-	uid := s.list.uids[first]
-	s.takeList(s.list.line, logic.ListChanges, &protocol.HostList{Revision: 5, Hosts: []protocol.HostEntry{
-		{UID: uid, Endpoint: s.list.addr[first], Zone: "a", State: "terminating"}}})
+	s.callCore(func(time.Duration) { first = s.txs[1].hops[0].hostID })
+	uid := s.discovery.uidByID[first]
+	s.applyList(s.discovery.conn, logic.ListChanges, &protocol.HostList{Revision: 5, Hosts: []protocol.HostEntry{
+		{UID: uid, Endpoint: s.discovery.addrByID[first], Zone: "a", State: "terminating"}}})
 	s.gate <- true
 	s.gate <- true
 	s.get(c, "pay")
@@ -291,10 +291,10 @@
 				}
 			}
 		}()
-		s.decide(func(time.Duration) { s.rediscover(ln.Addr().String()) })
+		s.callCore(func(time.Duration) { s.changeDiscoveryAddr(ln.Addr().String()) })
 		fmt.Println(end, <-calls, <-calls)
 		began := <-first
-		fmt.Println(<-calls, "in time:", time.Since(began) < watchWait+2*time.Second, "again at once:", s.Counters.ListCallsRetried.Load(), "for the module:", s.Counters.ListCallsFailed.Load())
+		fmt.Println(<-calls, "in time:", time.Since(began) < listWatchDuration+2*time.Second, "again at once:", s.Counters.ListCallsRetried.Load(), "for the module:", s.Counters.ListCallsFailed.Load())
 	}
 	// Output:
 	// silence /v1/endpoints /v1/endpoints?index=5&wait=3000
@@ -325,7 +325,7 @@
 	s.untilRev(3)
 	s.print()
 	for _, uid := range []string{"one", "two", "three"} {
-		fmt.Println(uid, "takes what is new:", s.list.takes(s.list.ids[uid]))
+		fmt.Println(uid, "takes what is new:", s.discovery.acceptsNewHops(s.discovery.idByUID[uid]))
 	}
 	// Output:
 	// discovery: /v1/endpoints?index=4&wait=3000
@@ -346,22 +346,22 @@
 		<-answer
 		io.WriteString(w, `{"rev":1,"all":true,"targets":[]}`)
 	}))
-	s.decide(func(time.Duration) { s.rediscover(at) })
+	s.callCore(func(time.Duration) { s.changeDiscoveryAddr(at) })
 	<-moved // it is asked, and says nothing yet
 	s.lists <- `{"rev":5,"targets":[{"uid":"one","az":"a","state":"terminating"},{"uid":"new","az":"a","state":"in_service"}]}`
 	s.until("goes", func() bool {
 		s.Dispatcher.mu.Lock()
 		defer s.Dispatcher.mu.Unlock()
-		return !s.list.takes(s.list.ids["one"])
+		return !s.discovery.acceptsNewHops(s.discovery.idByUID["one"])
 	})
 	for range 3 {
 		s.ask("pay", "go")
 	}
 	s.print()
-	fmt.Println("known:", len(s.list.addr))
+	fmt.Println("known:", len(s.discovery.addrByID))
 	answer <- true
 	s.untilRev(1)
-	fmt.Println("known:", len(s.list.addr), "lost:", s.Counters.ListCallsFailed.Load())
+	fmt.Println("known:", len(s.discovery.addrByID), "lost:", s.Counters.ListCallsFailed.Load())
 	// Output:
 	// discovery: /v1/endpoints?index=4&wait=3000
 	// two: POST /pay?go "hi"
@@ -386,10 +386,10 @@
 		io.WriteString(nc, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	})
 	s.ask("read", "go")
-	s.decide(func(time.Duration) { host = s.list.ids["scripted"] })
+	s.callCore(func(time.Duration) { host = s.discovery.idByUID["scripted"] })
 	done := make(chan transport.Outcome, 1)
-	s.decide(func(time.Duration) {
-		s.start(s.list.target(host), &transport.Exchange{Deadline: time.Now().Add(5 * time.Second), OnDone: func(how transport.Outcome) { done <- how },
+	s.callCore(func(time.Duration) {
+		s.startExchange(s.discovery.targetOf(host), &transport.Exchange{Deadline: time.Now().Add(5 * time.Second), OnDone: func(how transport.Outcome) { done <- how },
 			BuildMessage: func() net.Buffers {
 				return net.Buffers{[]byte("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 8388608\r\n\r\n"), bytesOf(8 * megabyte)}
 			},
@@ -427,7 +427,7 @@
 			fmt.Fprintf(nc, "HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", answer, len(stray), stray)
 			io.Copy(io.Discard, nc)
 		})
-		s.large.Store(0) // no room to hold any
+		s.bodyBudget.Store(0) // no room to hold any
 		c := s.dial()
 		io.WriteString(c, strings.Replace(text("pay", "go", ""), "Length: 2", "Length: 100000", 1)+strings.Repeat("a", 50_000))
 		s.get(c, answer)
@@ -507,7 +507,7 @@
 	defer c.Close()
 	io.WriteString(c, text("pay", "go", ""))
 	s.until("out", func() bool { return s.Counters.HopsWritten.Load() == 1 })
-	s.takeList(s.list.line, logic.ListChanges, &protocol.HostList{Revision: 6, Hosts: []protocol.HostEntry{{UID: "scripted", Zone: "a", State: "terminated"}}})
+	s.applyList(s.discovery.conn, logic.ListChanges, &protocol.HostList{Revision: 6, Hosts: []protocol.HostEntry{{UID: "scripted", Zone: "a", State: "terminated"}}})
 	goOn <- true
 	s.get(c, "pay")
 	select {
--- a/internal/routing/gone_test.go
+++ b/internal/routing/gone_test.go
@@ -56,9 +56,9 @@
 		go l.listens(ln)
 		list.Hosts = append(list.Hosts, protocol.HostEntry{UID: fmt.Sprint("host ", i), Endpoint: ln.Addr().String(), Zone: "a", State: "in_service"})
 	}
-	l.takeList(l.list.line, logic.ListComplete, list)
+	l.applyList(l.discovery.conn, logic.ListComplete, list)
 	if gated {
-		l.decide(func(time.Duration) {
+		l.callCore(func(time.Duration) {
 			l.pool.Dial = func(_ context.Context, network, addr string) (net.Conn, error) {
 				l.dials <- true
 				if !<-l.gate {
@@ -190,7 +190,7 @@
 
 func (l *leavers) untilTaken() {
 	l.until("taken", func() bool { return l.Counters.Admitted.Load() >= int64(l.size) })
-	l.decide(func(time.Duration) {}) // what came with the last one is done
+	l.callCore(func(time.Duration) {}) // what came with the last one is done
 }
 
 // places are where a transaction may wait as its client leaves; each plays one such, with so many clients.
@@ -238,14 +238,14 @@
 		l.ConfigureListener(ln, false, 400, 0, 2<<20)
 		l.waits = int64(size)
 		l.send(pay)
-		served := time.AfterFunc(2*goneWithin, func() { l.listener.Serve(l.client) })
+		served := time.AfterFunc(2*goneWithin, func() { l.listener.Serve(l.serveClient) })
 		defer served.Stop()
 		l.leave()
 		return l
 	}},
 	{"body half come", func(size int, cancelling bool) *leavers {
 		l := gather(size, size, cancelling, true)
-		l.large.Store(0) // no room to hold any
+		l.bodyBudget.Store(0) // no room to hold any
 		l.send(func(id string) string { return long(id, 30_000) })
 		l.untilDials()
 		l.leave()
@@ -254,7 +254,7 @@
 	}},
 	{"body half come, more than a socket holds", func(size int, cancelling bool) *leavers {
 		l := gather(size, size, cancelling, true)
-		l.large.Store(1 << 30)
+		l.bodyBudget.Store(1 << 30)
 		l.send(func(id string) string { return long(id, 700_000) })
 		l.untilDials()
 		l.sent()
@@ -265,7 +265,7 @@
 	}},
 	{"body half come, its host takes none", func(size int, cancelling bool) *leavers {
 		l := gather(size/6, size, cancelling, false) // few: each binds megabytes of the machine's
-		l.large.Store(0)
+		l.bodyBudget.Store(0)
 		l.holds.Store(true) // till then no host reads on
 		l.send(func(id string) string { return long(id, 3_000_000) })
 		l.untilThere()
@@ -277,7 +277,7 @@
 	}},
 	{"asked of another gateway", func(size int, cancelling bool) *leavers {
 		l := gather(size, size, cancelling, false, `"balancers":2`, `"me":1,"balancers":21`)
-		l.decide(func(time.Duration) { // from here on the module's time goes on as the test has it
+		l.callCore(func(time.Duration) { // from here on the module's time goes on as the test has it
 			l.timer.Stop()
 			l.timer = time.AfterFunc(time.Hour, func() {})
 		})
@@ -285,7 +285,7 @@
 		l.untilTaken()
 		l.leave()
 		for end := time.Now().Add(300 * time.Millisecond); time.Now().Before(end); { // its wait is over within
-			l.decide(func(now time.Duration) { l.opened.TimerFired(now) })
+			l.callCore(func(now time.Duration) { l.core.TimerFired(now) })
 		}
 		return l
 	}},
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -47,7 +47,7 @@
 		ln, err = net.Listen("tcp", "127.0.0.1:0")
 		desk.ConfigureListener(ln, false, 400, 0, 2<<20)
 	}
-	if err == nil && desk.opened.GatewayCount == 2 { // more are not told of each other
+	if err == nil && desk.core.GatewayCount == 2 { // more are not told of each other
 		err = desk.JoinPeers("127.0.0.1:0", []string{"127.0.0.1:9", "127.0.0.1:8"}, "")
 	}
 	if err != nil {
@@ -110,7 +110,7 @@
 		http.NewResponseController(w).Flush()
 		cut()
 	case "slow": // past the time for which a gateway that ends takes connections
-		time.Sleep(comeOn + 200*time.Millisecond)
+		time.Sleep(shutdownAcceptDuration + 200*time.Millisecond)
 		io.WriteString(w, "late answer")
 	case "wait":
 		select {
@@ -207,7 +207,11 @@
 }
 
 func (s *stage) untilRev(rev int64) {
-	s.until("list", func() bool { s.Dispatcher.mu.Lock(); defer s.Dispatcher.mu.Unlock(); return s.list.rev == rev })
+	s.until("list", func() bool {
+		s.Dispatcher.mu.Lock()
+		defer s.Dispatcher.mu.Unlock()
+		return s.discovery.revision == rev
+	})
 }
 
 func (s *stage) print() {
@@ -361,9 +365,9 @@
 	open.Close()
 	s.untilLine("one: given up")
 	s.ask("pay", "go")
-	s.told(netip.MustParseAddrPort("127.0.0.1:7"), make([]byte, 9)) // of no gateway
-	s.told(netip.MustParseAddrPort("127.0.0.1:8"), make([]byte, 8)) // no whole number of hosts
-	s.told(netip.MustParseAddrPort("127.0.0.1:8"), make([]byte, 10))
+	s.datagramReceived(netip.MustParseAddrPort("127.0.0.1:7"), make([]byte, 9)) // of no gateway
+	s.datagramReceived(netip.MustParseAddrPort("127.0.0.1:8"), make([]byte, 8)) // no whole number of hosts
+	s.datagramReceived(netip.MustParseAddrPort("127.0.0.1:8"), make([]byte, 10))
 	s.print()
 	fmt.Println("wrong:", s.Counters.InvalidInputs.Load(), "taken:", s.Counters.Admitted.Load(), "told:", s.Counters.PeerMessagesReceived.Load(), "dropped:",
 		s.Counters.PeerMessagesInvalid.Load())
@@ -467,7 +471,7 @@
 		s.lists <- `{"rev":5,"targets":[]}`
 	}
 	s.until("five more calls", func() bool { return s.Counters.ListCalls.Load() >= 6 })
-	fmt.Println("pauses:", time.Since(began) >= 4*hurry)
+	fmt.Println("pauses:", time.Since(began) >= 4*minListCallPause)
 	// Output:
 	// one: GET /read?go ""
 	// read go: 200 "answer to go"
@@ -490,9 +494,9 @@
 		case <-r.Context().Done():
 		}
 	}))
-	old := s.list.line
-	s.decide(func(time.Duration) { s.rediscover(moved) })
-	s.takeList(old, logic.ListComplete, &protocol.HostList{Revision: 9})
+	old := s.discovery.conn
+	s.callCore(func(time.Duration) { s.changeDiscoveryAddr(moved) })
+	s.applyList(old, logic.ListComplete, &protocol.HostList{Revision: 9})
 	lists <- `{"rev":3,"all":true,"targets":[{"uid":"two","az":"a","state":"terminating"}]}`
 	s.untilRev(3)
 	s.ask("read", "go")
@@ -512,13 +516,13 @@
 // A host's number comes from its uid alone, and two uids with one number are noticed. A start before the gateway's own
 // is known as such: taken for long ago, a cold host would be pushed over.
 func Example_numbers() {
-	l := newListing()
+	l := newDiscoveryState()
 	for _, uid := range []string{"plumless", "plumless", "buckeroo"} {
-		id, ok := l.number(uid)
+		id, ok := l.hostIDFor(uid)
 		fmt.Println(uid, id, ok)
 	}
-	d := &Dispatcher{began: time.UnixMilli(1_000_000_000)}
-	fmt.Println(d.since(0), d.since(1_000_000_000-2_500), d.since(1_000_000_000+500), d.since(5))
+	d := &Dispatcher{startedAt: time.UnixMilli(1_000_000_000)}
+	fmt.Println(d.coreClockTime(0), d.coreClockTime(1_000_000_000-2_500), d.coreClockTime(1_000_000_000+500), d.coreClockTime(5))
 	// Output:
 	// plumless 1306201125 true
 	// plumless 1306201125 true
@@ -616,8 +620,8 @@
 			}
 		}
 		opened := s.pool.Opened.Load()
-		s.decide(func(time.Duration) {
-			for id := range s.list.addr { // in any order
+		s.callCore(func(time.Duration) {
+			for id := range s.discovery.addrByID { // in any order
 				s.CloseIdleConnections(id)
 			}
 		})
--- a/internal/routing/run.go
+++ b/internal/routing/run.go
@@ -21,146 +21,150 @@
 
 // ConfigureListener opens the gateway to clients, with room for so many sockets, those that are used beside clients and hosts among
 // them, and within so many bytes of memory. Where other processes share the listener they share both.
-func (d *Dispatcher) ConfigureListener(ln net.Listener, shared bool, sockets, beside int, memory int64) {
-	memory, sockets = cmp.Or(memory, usualMemory), cmp.Or(sockets, usualSockets)
-	if d.shared = shared; shared {
-		memory /= 2
+func (d *Dispatcher) ConfigureListener(ln net.Listener, sharedListener bool, maxSockets, otherSockets int, memoryBytes int64) {
+	memoryBytes, maxSockets = cmp.Or(memoryBytes, defaultMemoryBytes), cmp.Or(maxSockets, defaultMaxSockets)
+	if d.sharedListener = sharedListener; sharedListener {
+		memoryBytes /= 2
+	}
+	d.bodyBudget.Store(memoryBytes / bodyBudgetDivisor)
+	d.maxReadAheadBudget = memoryBytes / readAheadBudgetDivisor
+	d.readAheadBudget.Store(d.maxReadAheadBudget)
+	overLimit := max(1, maxSockets/overLimitSocketDivisor)
+	limitFor := func(fraction float64) int {
+		return int(fraction*float64(maxSockets)) - overLimit - reservedSockets - otherSockets
 	}
-	d.large.Store(memory / largePart)
-	d.aheadMost = memory / aheadPart
-	d.ahead.Store(d.aheadMost)
-	overLimit := max(1, sockets/crowdPart)
-	limitFor := func(part float64) int { return int(part*float64(sockets)) - overLimit - spareSockets - beside }
 	limit := limitFor(1)
-	if shared {
-		limit = limitFor(alonePart)
+	if sharedListener {
+		limit = limitFor(singleProcessSocketFraction)
 	}
 	d.connLimit = transport.NewConnLimit(limit)
-	d.pool = transport.NewPool(d.connLimit, cmp.Or(d.opened.ConnectTimeout, usualConnect), cmp.Or(d.opened.IdleConnTimeout, usualIdle))
-	d.listener = transport.NewListener(ln, d.connLimit, limit-limit/hostsPart, overLimit)
-	d.alone, d.beside = limit, limitFor(besidePart)
-	if shared { // the one before may be ending yet
-		d.listener.SetRetainBudget(memory / largePart)
-		d.connLimit.SetMax(d.beside)
+	d.pool = transport.NewPool(d.connLimit, cmp.Or(d.core.ConnectTimeout, defaultConnectTimeout), cmp.Or(d.core.IdleConnTimeout, defaultIdleConnTimeout))
+	d.listener = transport.NewListener(ln, d.connLimit, limit-limit/hostSocketDivisor, overLimit)
+	d.singleProcessConnLimit, d.overlapConnLimit = limit, limitFor(overlapSocketFraction)
+	if sharedListener { // the one before may be ending yet
+		d.listener.SetRetainBudget(memoryBytes / bodyBudgetDivisor)
+		d.connLimit.SetMax(d.overlapConnLimit)
 	}
 }
 
 // JoinPeers opens the ways to the other gateways. While the address is in use, as the process before this one ends, it is tried again.
-func (d *Dispatcher) JoinPeers(listen string, peers []string, all string) (err error) {
-	t := tells{number: map[netip.AddrPort]int{}}
+func (d *Dispatcher) JoinPeers(listen string, peers []string, broadcast string) (err error) {
+	network := peerNetwork{indexByAddr: map[netip.AddrPort]int{}}
 	for i, peer := range peers {
-		at, err := netip.ParseAddrPort(peer)
+		addr, err := netip.ParseAddrPort(peer)
 		if err != nil {
 			return fmt.Errorf("peer %d: %w", i, err)
 		}
-		t.peers, t.number[at] = append(t.peers, at), i
-		if i != d.opened.GatewayIndex {
-			t.others = append(t.others, at)
+		network.addrs, network.indexByAddr[addr] = append(network.addrs, addr), i
+		if i != d.core.GatewayIndex {
+			network.otherAddrs = append(network.otherAddrs, addr)
 		}
 	}
-	if len(t.peers) != d.opened.GatewayCount {
-		return fmt.Errorf("%d peers for %d gateways", len(t.peers), d.opened.GatewayCount)
+	if len(network.addrs) != d.core.GatewayCount {
+		return fmt.Errorf("%d peers for %d gateways", len(network.addrs), d.core.GatewayCount)
 	}
-	if all != "" {
-		if t.all, err = netip.ParseAddrPort(all); err != nil {
+	if broadcast != "" {
+		if network.broadcastAddr, err = netip.ParseAddrPort(broadcast); err != nil {
 			return err
 		}
 	}
-	if t.socket, err = transport.ListenDatagrams(listen, len(t.others)); errors.Is(err, syscall.EADDRINUSE) {
+	if network.socket, err = transport.ListenDatagrams(listen, len(network.otherAddrs)); errors.Is(err, syscall.EADDRINUSE) {
 		slog.Warn("tells other gateways once the address is free", "at", listen)
-		go d.joinLater(listen, t)
+		go d.joinWhenAddressFree(listen, network)
 		return nil
 	}
 	if err == nil {
-		d.joined(t)
+		d.servePeers(network)
 	}
 	return err
 }
 
-func (d *Dispatcher) joinLater(listen string, t tells) {
-	for err := error(syscall.EADDRINUSE); err != nil; t.socket, err = transport.ListenDatagrams(listen, len(t.others)) {
-		time.Sleep(joinAgain)
+func (d *Dispatcher) joinWhenAddressFree(listen string, network peerNetwork) {
+	for err := error(syscall.EADDRINUSE); err != nil; network.socket, err = transport.ListenDatagrams(listen, len(network.otherAddrs)) {
+		time.Sleep(peerListenRetryDelay)
 		if d.closing.Load() {
 			return
 		}
 	}
-	d.joined(t)
+	d.servePeers(network)
 }
 
-// joined takes the ways into use.
-func (d *Dispatcher) joined(t tells) {
+// servePeers takes the ways into use.
+func (d *Dispatcher) servePeers(network peerNetwork) {
 	d.mu.Lock()
-	d.tells = t
+	d.peers = network
 	d.mu.Unlock()
-	go t.socket.Serve(config.MaxPeerMessageBytes, d.told)
+	go network.socket.Serve(config.MaxPeerMessageBytes, d.datagramReceived)
 }
 
 // Start starts the decisions. Discovery is asked at its address; known is the list as it was last had.
-func (d *Dispatcher) Start(seed uint64, discovery string, known *protocol.HostList) {
-	d.began, d.list.line = time.Now(), &transport.DiscoveryConn{Addr: discovery}
-	d.list.jitter = rand.New(rand.NewPCG(seed, uint64(d.opened.GatewayIndex))) // gateways that share a seed are not to call in step
-	d.list.backoff = time.AfterFunc(time.Hour, func() { d.decide(func(time.Duration) { d.ask() }) })
-	d.list.backoff.Stop()
-	d.decide(func(now time.Duration) {
-		beside := time.Duration(0)
-		if d.shared {
-			beside = now + coldBeside
+func (d *Dispatcher) Start(seed uint64, discoveryAddr string, knownList *protocol.HostList) {
+	d.startedAt, d.discovery.conn = time.Now(), &transport.DiscoveryConn{Addr: discoveryAddr}
+	d.discovery.random = rand.New(rand.NewPCG(seed, uint64(d.core.GatewayIndex))) // gateways that share a seed are not to call in step
+	d.discovery.backoffTimer = time.AfterFunc(time.Hour, func() { d.callCore(func(time.Duration) { d.startListWatch() }) })
+	d.discovery.backoffTimer.Stop()
+	d.callCore(func(now time.Duration) {
+		predecessorActiveUntil := time.Duration(0)
+		if d.sharedListener {
+			predecessorActiveUntil = now + predecessorActiveDuration
 		}
-		d.opened.Start(d, now, seed, beside)
+		d.core.Start(d, now, seed, predecessorActiveUntil)
 	})
-	if known != nil && len(known.Hosts) > 0 {
-		d.takeList(d.list.line, logic.ListCached, known)
+	if knownList != nil && len(knownList.Hosts) > 0 {
+		d.applyList(d.discovery.conn, logic.ListCached, knownList)
 	}
-	d.decide(func(time.Duration) {
-		if d.opened.HostListPushed { // what is pushed counts as told from the first moment
-			d.ask()
+	d.callCore(func(time.Duration) {
+		if d.core.HostListPushed { // what is pushed counts as told from the first moment
+			d.startListWatch()
 		}
 	})
 }
 
 // Serve takes in clients until Close. Of a listener that is shared nothing is taken before it can be answered.
 func (d *Dispatcher) Serve() {
-	if d.shared {
-		<-d.listed
-		time.AfterFunc(besideFor, func() {
+	if d.sharedListener {
+		<-d.listReceived
+		time.AfterFunc(overlapDuration, func() {
 			if !d.closing.Load() {
-				d.connLimit.SetMax(d.alone)
+				d.connLimit.SetMax(d.singleProcessConnLimit)
 			}
 		})
 	}
 	d.serving.Store(true)
-	d.listener.Serve(d.client)
+	d.listener.Serve(d.serveClient)
 }
 
 // CheckSettings checks settings that are to follow those in force; it changes nothing.
-func (d *Dispatcher) CheckSettings(settings []byte, peers int) (*config.SettingsUpdate, error) {
+func (d *Dispatcher) CheckSettings(settings []byte, peerCount int) (*config.SettingsUpdate, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.opened.ParseUpdate(settings, peers)
+	return d.core.ParseUpdate(settings, peerCount)
 }
 
 // ApplySettings takes settings into force, and discovery's address with them.
-func (d *Dispatcher) ApplySettings(to *config.SettingsUpdate, discovery string) {
-	d.decide(func(now time.Duration) {
-		d.opened.ApplyUpdate(now, to)
-		d.named()
-		d.rediscover(discovery)
+func (d *Dispatcher) ApplySettings(update *config.SettingsUpdate, discoveryAddr string) {
+	d.callCore(func(now time.Duration) {
+		d.core.ApplyUpdate(now, update)
+		d.addProfileCounters()
+		d.changeDiscoveryAddr(discoveryAddr)
 	})
 }
 
 // Ready tells whether this process takes clients.
-func (d *Dispatcher) Ready() bool { return d.ready.Load() && d.serving.Load() && !d.sendsAway() }
+func (d *Dispatcher) Ready() bool {
+	return d.ready.Load() && d.serving.Load() && !d.closesClientConns()
+}
 
-// sendsAway tells whether answers are to say that their connection closes.
-func (d *Dispatcher) sendsAway() bool { return d.closing.Load() || d.listener.Draining() }
+// closesClientConns tells whether answers are to say that their connection closes.
+func (d *Dispatcher) closesClientConns() bool { return d.closing.Load() || d.listener.Draining() }
 
 // SetDraining sends clients away, or takes them again; once the gateway ends it takes none.
-func (d *Dispatcher) SetDraining(away bool) bool {
+func (d *Dispatcher) SetDraining(draining bool) bool {
 	if d.closing.Load() {
-		return away
+		return draining
 	}
-	d.listener.SetDraining(away)
-	slog.Info("told by operators", "drain", away)
+	d.listener.SetDraining(draining)
+	slog.Info("told by operators", "drain", draining)
 	return true
 }
 
@@ -168,47 +172,47 @@
 func (d *Dispatcher) Close() {
 	began := time.Now()
 	d.closing.Store(true)
-	if d.shared {
+	if d.sharedListener {
 		d.mu.Lock()
-		if d.tells.socket != nil { // the other process waits for it
-			d.tells.socket.Close()
-			d.tells.socket = nil
+		if d.peers.socket != nil { // the other process waits for it
+			d.peers.socket.Close()
+			d.peers.socket = nil
 		}
 		d.mu.Unlock()
 		d.listener.HandOver()
 		d.pool.CloseAllIdle()
 	} else {
-		time.Sleep(comeOn)
+		time.Sleep(shutdownAcceptDuration)
 		d.listener.Shutdown()
 	}
 	d.mu.Lock()
-	longest := min(cmp.Or(d.opened.MaxHardLimit, usualLongest), usualLongest)
+	maxHardLimit := min(cmp.Or(d.core.MaxHardLimit, maxShutdownHardLimit), maxShutdownHardLimit)
 	d.mu.Unlock()
-	until := began.Add(comeOn + longest)
-	for turned := false; !d.listener.Finished(); time.Sleep(endPoll) {
+	deadline := began.Add(shutdownAcceptDuration + maxHardLimit)
+	for rejected := false; !d.listener.Finished(); time.Sleep(shutdownPollInterval) {
 		switch now := time.Now(); {
-		case now.After(until):
+		case now.After(deadline):
 			slog.Warn("ends with clients unanswered", "clients", d.listener.OpenClients())
 			return
-		case turned:
-			d.giveUp()
-		case now.After(until.Add(-endAside)):
-			turned = true
+		case rejected:
+			d.abandonOpen()
+		case now.After(deadline.Add(-shutdownResponseReserve)):
+			rejected = true
 			d.listener.RejectIncomplete()
 		}
-		if d.shared {
-			d.nudge()
+		if d.sharedListener {
+			d.interruptStreams()
 		}
 	}
 }
 
-// giveUp answers what is open as the process is about to be ended: what may have run yet, and has no answer then, would be lost.
-func (d *Dispatcher) giveUp() {
-	d.decide(func(now time.Duration) {
+// abandonOpen answers what is open as the process is about to be ended: what may have run yet, and has no answer then, would be lost.
+func (d *Dispatcher) abandonOpen() {
+	d.callCore(func(now time.Duration) {
 		for _, id := range slices.Sorted(maps.Keys(d.txs)) {
 			if t := d.txs[id]; !t.answered {
 				d.Abandon(id)
-				d.opened.ClientLeft(now, id)
+				d.core.ClientLeft(now, id)
 			}
 		}
 	})
--- a/internal/routing/send.go
+++ b/internal/routing/send.go
@@ -16,287 +16,289 @@
 
 // hop is one sending of a transaction.
 type hop struct {
-	t        *tx
-	host     logic.HostID
-	to       transport.Target
-	number   int
-	sent     time.Time
-	exchange *transport.Exchange
-	answer   *protocol.Response
-	whole    bool // all of it was written
-	streamed bool // its answer has begun to go on, and the module knows
+	tx           *tx
+	hostID       logic.HostID
+	target       transport.Target
+	index        int
+	sentAt       time.Time
+	exchange     *transport.Exchange
+	response     *protocol.Response
+	fullyWritten bool // all of it was written
+	streamed     bool // its answer has begun to go on, and the module knows
 }
 
 // SendHop sends the transaction. A host whose address is not known can't be reached.
-func (d *Dispatcher) SendHop(id logic.TxID, host logic.HostID, wait time.Duration) {
+func (d *Dispatcher) SendHop(id logic.TxID, hostID logic.HostID, timeout time.Duration) {
 	t := d.txs[id]
-	h := &hop{t: t, host: host, to: d.list.target(host), number: len(t.hops), sent: time.Now()}
+	h := &hop{tx: t, hostID: hostID, target: d.discovery.targetOf(hostID), index: len(t.hops), sentAt: time.Now()}
 	t.hops = append(t.hops, h)
-	t.out++
-	until := h.sent.Add(wait)
-	if t.passed { // what has gone of its body is gone
-		d.then(func() { d.unsent(h) })
+	t.hopsInFlight++
+	deadline := h.sentAt.Add(timeout)
+	if t.bodyForwarded { // what has gone of its body is gone
+		d.afterUnlock(func() { d.endUnsentHop(h) })
 		return
 	}
 	h.exchange = &transport.Exchange{
-		BuildMessage: func() net.Buffers { return t.said.EncodeForHost(time.Until(until)) },
-		Deadline:     until,
-		StillWanted:  func() bool { return d.wants(h) },
-		ReadResponse: func(r *bufio.Reader) (keep bool, err error) {
+		BuildMessage: func() net.Buffers { return t.request.EncodeForHost(time.Until(deadline)) },
+		Deadline:     deadline,
+		StillWanted:  func() bool { return d.stillWanted(h) },
+		ReadResponse: func(reader *bufio.Reader) (keep bool, err error) {
 			var head protocol.Head
-			h.answer, keep, err = protocol.ReadResponse(r, &head, t.said.HeadOnly, func() { h.exchange.SetReadTimeout(holdWithin) },
-				func(a *protocol.Response, rest *protocol.Body) error { return d.stream(h, a, rest) })
+			h.response, keep, err = protocol.ReadResponse(reader, &head, t.request.HeadOnly, func() { h.exchange.SetReadTimeout(unsizedResponseHoldTimeout) },
+				func(response *protocol.Response, body *protocol.Body) error {
+					return d.streamResponse(h, response, body)
+				})
 			return keep, err
 		},
 		OnWritten: func() {
-			h.whole = true
+			h.fullyWritten = true
 			d.Counters.HopsWritten.Add(1)
 		},
-		OnDone: func(how transport.Outcome) { d.ended(h, how) },
+		OnDone: func(outcome transport.Outcome) { d.hopEnded(h, outcome) },
 	}
-	if t.said.RemainingBody != nil {
-		h.exchange.StreamBody = func(r *transport.BodyWriter) bool { return d.feeds(h, r, wait) }
+	if t.request.RemainingBody != nil {
+		h.exchange.StreamBody = func(reader *transport.BodyWriter) bool { return d.offerBodyWriter(h, reader, timeout) }
 	}
 	d.Counters.Hops.Add(1)
-	d.start(h.to, h.exchange, len(t.said.Body) > protocol.MaxBufferedBodyBytes)
+	d.startExchange(h.target, h.exchange, len(t.request.Body) > protocol.MaxBufferedBodyBytes)
 }
 
-// wants tells whether a hop is still to be sent: somebody waits for its transaction, and its host takes what is new. A connection may
+// stillWanted tells whether a hop is still to be sent: somebody waits for its transaction, and its host takes what is new. A connection may
 // be long in coming up; by then its client may have gone, or the grace of a drain be over.
-func (d *Dispatcher) wants(h *hop) bool {
+func (d *Dispatcher) stillWanted(h *hop) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return !h.t.answered && d.list.takes(h.host)
+	return !h.tx.answered && d.discovery.acceptsNewHops(h.hostID)
 }
 
-// unsent ends a hop that can't be sent; it never ran, and says nothing of its host.
-func (d *Dispatcher) unsent(h *hop) {
-	d.decide(func(now time.Duration) {
-		h.t.out--
-		d.opened.HopEnded(now, h.t.id, h.number, logic.HopResult{Outcome: logic.HopNotSent, Load: logic.NoLoadReport}, h.t.answered)
-		d.forget(h.t)
+// endUnsentHop ends a hop that can't be sent; it never ran, and says nothing of its host.
+func (d *Dispatcher) endUnsentHop(h *hop) {
+	d.callCore(func(now time.Duration) {
+		h.tx.hopsInFlight--
+		d.core.HopEnded(now, h.tx.id, h.index, logic.HopResult{Outcome: logic.HopNotSent, Load: logic.NoLoadReport}, h.tx.answered)
+		d.removeIfFinished(h.tx)
 	})
 }
 
-// feeds has the rest of a body written to the host whose connection is up, unless some of it has gone to another.
-func (d *Dispatcher) feeds(h *hop, r *transport.BodyWriter, wait time.Duration) bool {
+// offerBodyWriter has the rest of a body written to the host whose connection is up, unless some of it has gone to another.
+func (d *Dispatcher) offerBodyWriter(h *hop, writer *transport.BodyWriter, timeout time.Duration) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if h.t.passed || h.t.answered {
+	if h.tx.bodyForwarded || h.tx.answered {
 		return false
 	}
 	select {
-	case h.t.up <- r:
-		h.t.wait, h.t.feeding = wait, h
-		h.t.client.Wake()
+	case h.tx.bodyWriters <- writer:
+		h.tx.responseTimeout, h.tx.bodyHop = timeout, h
+		h.tx.client.Wake()
 		return true
 	default: // it has room for all hops that settings allow within reason
 		return false
 	}
 }
 
-// early is what has been read of a body whose host is not there yet.
-type early struct {
-	pieces [][]byte
+// earlyBody is what has been read of a body whose host is not there yet.
+type earlyBody struct {
+	chunks [][]byte
 	err    error // behind these: io.EOF is the body's proper end
 }
 
-// take gives the next piece, and its end with the last one; it is false where there is none.
-func (e *early) take(to []byte) (n int, err error, had bool) {
-	if had = len(e.pieces) > 0 || e.err != nil; len(e.pieces) > 0 {
-		n = copy(to, e.pieces[0])
-		e.pieces = e.pieces[1:]
+// next gives the next piece, and its end with the last one; it is false where there is none.
+func (e *earlyBody) next(buf []byte) (n int, err error, ok bool) {
+	if ok = len(e.chunks) > 0 || e.err != nil; len(e.chunks) > 0 {
+		n = copy(buf, e.chunks[0])
+		e.chunks = e.chunks[1:]
 	}
-	if len(e.pieces) == 0 {
+	if len(e.chunks) == 0 {
 		err, e.err = e.err, nil
 	}
-	return n, err, had
+	return n, err, ok
 }
 
-// readEarly reads a body while its host is not there, as long as there is room: without that the client's end would be seen by nobody that
+// readEarlyBody reads a body while its host is not there, as long as there is room: without that the client's end would be seen by nobody that
 // stands behind more than a socket holds.
-func (d *Dispatcher) readEarly(t *tx, e *early, piece []byte, until func() bool) {
-	for e.err == nil && len(e.pieces) < earlyMost/pieceBytes && !until() && d.roomFor(pieceBytes) {
-		n, err := t.client.ReadWhileWaiting(until, func() (int, error) { return t.said.RemainingBody.Read(piece) })
+func (d *Dispatcher) readEarlyBody(t *tx, body *earlyBody, buf []byte, stop func() bool) {
+	for body.err == nil && len(body.chunks) < maxEarlyBodyBytes/streamBufferBytes && !stop() && d.reserveBodyBudget(streamBufferBytes) {
+		n, err := t.client.ReadWhileWaiting(stop, func() (int, error) { return t.request.RemainingBody.Read(buf) })
 		if n > 0 {
-			e.pieces = append(e.pieces, bytes.Clone(piece[:n]))
+			body.chunks = append(body.chunks, bytes.Clone(buf[:n]))
 		} else {
-			d.large.Add(pieceBytes)
+			d.bodyBudget.Add(streamBufferBytes)
 		}
 		if errors.Is(err, transport.ErrShuttingDown) { // it says so again once its host is there
 			return
 		}
-		e.err = err
+		body.err = err
 	}
 }
 
-// feed passes on the rest of a body as it comes; it is false where the connection ends.
-func (d *Dispatcher) feed(t *tx) bool {
-	piece := pieces.Get().(*[pieceBytes]byte)
-	defer pieces.Put(piece)
-	var to *transport.BodyWriter
-	var e early
-	defer func() { d.large.Add(int64(len(e.pieces)) * pieceBytes) }()
-	stays := func() bool { return !t.client.PeerClosed() }
+// forwardBody passes on the rest of a body as it comes; it is false where the connection ends.
+func (d *Dispatcher) forwardBody(t *tx) bool {
+	buf := streamBuffers.Get().(*[streamBufferBytes]byte)
+	defer streamBuffers.Put(buf)
+	var writer *transport.BodyWriter
+	var early earlyBody
+	defer func() { d.bodyBudget.Add(int64(len(early.chunks)) * streamBufferBytes) }()
+	connected := func() bool { return !t.client.PeerClosed() }
 	t.client.BeginBody()
 	for {
-		if to == nil {
-			there := func() bool { return len(t.up) > 0 || t.over() }
-			d.readEarly(t, &e, piece[:], there)
-			if e.err != nil && !errors.Is(e.err, io.EOF) {
-				return d.breaks(t, e.err)
+		if writer == nil {
+			hostReady := func() bool { return len(t.bodyWriters) > 0 || t.isDone() }
+			d.readEarlyBody(t, &early, buf[:], hostReady)
+			if early.err != nil && !errors.Is(early.err, io.EOF) {
+				return d.abortBody(t, early.err)
 			}
-			if !t.client.WaitUnlessClosed(there) {
-				return d.breaks(t, nil)
+			if !t.client.WaitUnlessClosed(hostReady) {
+				return d.abortBody(t, nil)
 			}
 			select {
-			case to = <-t.up:
+			case writer = <-t.bodyWriters:
 			default: // it has its answer
 				t.client.DiscardInput()
 				return false
 			}
 			d.mu.Lock()
-			for len(t.up) > 0 { // the hop that is out is the last one
-				to = <-t.up
+			for len(t.bodyWriters) > 0 { // the hop that is out is the last one
+				writer = <-t.bodyWriters
 			}
-			t.passed = true
+			t.bodyForwarded = true
 			d.mu.Unlock()
 		}
-		n, err, had := e.take(piece[:])
-		if had && n > 0 {
-			d.large.Add(pieceBytes)
-		} else if !had {
-			n, err = t.said.RemainingBody.Read(piece[:])
+		n, err, buffered := early.next(buf[:])
+		if buffered && n > 0 {
+			d.bodyBudget.Add(streamBufferBytes)
+		} else if !buffered {
+			n, err = t.request.RemainingBody.Read(buf[:])
 		}
 		if errors.Is(err, transport.ErrShuttingDown) { // its host has not all of it, and never has
-			to.Abort()
-			<-t.settled
+			writer.Abort()
+			<-t.done
 			t.client.DiscardInput()
 			return false
 		}
 		if err != nil && !errors.Is(err, io.EOF) || t.client.PeerClosed() {
-			return d.breaks(t, err)
+			return d.abortBody(t, err)
 		}
-		began, last := time.Now(), err != nil
+		readAt, last := time.Now(), err != nil
 		if last {
 			t.client.EndBody()
-			late := false
-			d.decide(func(now time.Duration) {
-				late = t.answered
-				t.heard, t.early, t.taken, t.feeding.sent = true, t.client.Reader.Buffered() > 0, began, began
-				d.opened.HopBodySent(now, t.id, t.feeding.number)
+			alreadyAnswered := false
+			d.callCore(func(now time.Duration) {
+				alreadyAnswered = t.answered
+				t.bodyReceived, t.pipelined, t.startedAt, t.bodyHop.sentAt = true, t.client.Reader.Buffered() > 0, readAt, readAt
+				d.core.HopBodySent(now, t.id, t.bodyHop.index)
 			})
-			switch err := to.WriteLast(t.said.EncodePiece(piece[:n], true), t.wait, stays); {
+			switch err := writer.WriteLast(t.request.EncodePiece(buf[:n], true), t.responseTimeout, connected); {
 			case errors.Is(err, transport.ErrUnwanted):
-				return d.breaks(t, nil)
+				return d.abortBody(t, nil)
 			case err != nil:
-				<-t.settled // nothing can be sent again
+				<-t.done // nothing can be sent again
 			}
-			if late { // the answer went before, and said that the connection closes
-				<-t.settled
+			if alreadyAnswered { // the answer went before, and said that the connection closes
+				<-t.done
 			}
-			return !late
+			return !alreadyAnswered
 		}
 		if n > 0 {
-			switch err := to.Write(t.said.EncodePiece(piece[:n], false), stays); {
+			switch err := writer.Write(t.request.EncodePiece(buf[:n], false), connected); {
 			case errors.Is(err, transport.ErrUnwanted):
-				return d.breaks(t, nil)
+				return d.abortBody(t, nil)
 			case err != nil:
-				to = nil
+				writer = nil
 			}
 		}
-		t.client.ExtendReadTime(time.Since(began))
-		if t.over() {
+		t.client.ExtendReadTime(time.Since(readAt))
+		if t.isDone() {
 			t.client.DiscardInput()
 			return false
 		}
 	}
 }
 
-// breaks ends with a body that does not come to its end: its client has left, or what it sends makes no sense.
-func (d *Dispatcher) breaks(t *tx, err error) bool {
-	if d.left(t) {
+// abortBody ends with a body that does not come to its end: its client has left, or what it sends makes no sense.
+func (d *Dispatcher) abortBody(t *tx, err error) bool {
+	if d.clientLeft(t) {
 		if err != nil {
-			d.answerWrong(t.client, err)
+			d.respondInvalid(t.client, err)
 		}
 	} else {
-		<-t.settled
+		<-t.done
 	}
 	return false
 }
 
-var pieces = sync.Pool{New: func() any { return new([pieceBytes]byte) }}
+var streamBuffers = sync.Pool{New: func() any { return new([streamBufferBytes]byte) }}
 
-// start begins an exchange with a host once the lock is left. A long message may wait for its host to take it, and whoever is here then
+// startExchange begins an exchange with a host once the lock is left. A long message may wait for its host to take it, and whoever is here then
 // has others to see to: the module's timer, or what gateways tell.
-func (d *Dispatcher) start(to transport.Target, x *transport.Exchange, long bool) {
-	d.then(func() {
-		if to.Addr == "" {
-			x.OnDone(transport.OutcomeConnectFailed)
+func (d *Dispatcher) startExchange(target transport.Target, exchange *transport.Exchange, long bool) {
+	d.afterUnlock(func() {
+		if target.Addr == "" {
+			exchange.OnDone(transport.OutcomeConnectFailed)
 		} else if long {
-			go d.pool.Start(to, x)
+			go d.pool.Start(target, exchange)
 		} else {
-			d.pool.Start(to, x)
+			d.pool.Start(target, exchange)
 		}
 	})
 }
 
-// roomFor takes room for a body over the usual size that is held whole like others: many at once, sent slowly by their clients,
+// reserveBodyBudget takes room for a body over the usual size that is held whole like others: many at once, sent slowly by their clients,
 // would take all memory.
-func (d *Dispatcher) roomFor(bytes int) bool {
-	if d.large.Add(-int64(bytes)) >= 0 {
+func (d *Dispatcher) reserveBodyBudget(bytes int) bool {
+	if d.bodyBudget.Add(-int64(bytes)) >= 0 {
 		return true
 	}
-	d.large.Add(int64(bytes))
+	d.bodyBudget.Add(int64(bytes))
 	return false
 }
 
-func (d *Dispatcher) CallOff(id logic.TxID, number int) {
-	if h := d.txs[id].hops[number]; h.exchange != nil { // else it was never sent
-		d.then(h.exchange.Cancel)
+func (d *Dispatcher) CallOff(id logic.TxID, index int) {
+	if h := d.txs[id].hops[index]; h.exchange != nil { // else it was never sent
+		d.afterUnlock(h.exchange.Cancel)
 	}
 }
 
-// closeGone closes what is idle to a host that has gone from the list: what was out there as that was told has just fallen idle.
-func (d *Dispatcher) closeGone(to transport.Target) {
-	if d.list.target(logic.HostID(to.HostID)) != to {
-		d.then(func() { d.pool.CloseIdleTo(to) })
+// closeIdleIfGone closes what is idle to a host that has gone from the list: what was out there as that was told has just fallen idle.
+func (d *Dispatcher) closeIdleIfGone(target transport.Target) {
+	if d.discovery.targetOf(logic.HostID(target.HostID)) != target {
+		d.afterUnlock(func() { d.pool.CloseIdleTo(target) })
 	}
 }
 
-func (d *Dispatcher) CloseIdleConnections(host logic.HostID) {
-	to := d.list.target(host)
-	d.then(func() { d.pool.CloseIdleTo(to) })
+func (d *Dispatcher) CloseIdleConnections(hostID logic.HostID) {
+	target := d.discovery.targetOf(hostID)
+	d.afterUnlock(func() { d.pool.CloseIdleTo(target) })
 }
 
-func (d *Dispatcher) Probe(host logic.HostID) {
+func (d *Dispatcher) Probe(hostID logic.HostID) {
 	d.Counters.Probes.Add(1)
 	load, reported := logic.NoLoadReport, false
-	to := d.list.target(host)
-	d.start(to, &transport.Exchange{
-		BuildMessage: func() net.Buffers { return protocol.EncodeGet(protocol.LoadPath, to.Addr) },
-		Deadline:     time.Now().Add(probeWithin),
+	target := d.discovery.targetOf(hostID)
+	d.startExchange(target, &transport.Exchange{
+		BuildMessage: func() net.Buffers { return protocol.EncodeGet(protocol.LoadPath, target.Addr) },
+		Deadline:     time.Now().Add(probeTimeout),
 		ReadResponse: func(r *bufio.Reader) (keep bool, err error) {
 			var head protocol.Head
-			answer, keep, err := protocol.ReadResponse(r, &head, false, nil, nil)
-			if err == nil && answer.Status == 200 {
-				var wrong error
-				if load, wrong = protocol.ParseLoadReport(answer.Body); wrong != nil {
-					d.Counters.wrong(wrong.Error())
+			response, keep, err := protocol.ReadResponse(r, &head, false, nil, nil)
+			if err == nil && response.Status == 200 {
+				var parseErr error
+				if load, parseErr = protocol.ParseLoadReport(response.Body); parseErr != nil {
+					d.Counters.recordInvalidInput(parseErr.Error())
 				}
-				reported = wrong == nil
+				reported = parseErr == nil
 			}
 			return keep, err
 		},
-		OnDone: func(how transport.Outcome) {
-			if how == transport.OutcomeAnswered && reported {
+		OnDone: func(outcome transport.Outcome) {
+			if outcome == transport.OutcomeAnswered && reported {
 				d.Counters.ProbesAnswered.Add(1)
 			} else {
 				load = logic.NoLoadReport
 			}
-			d.decide(func(now time.Duration) {
-				d.closeGone(to)
-				d.opened.ProbeEnded(now, host, load)
+			d.callCore(func(now time.Duration) {
+				d.closeIdleIfGone(target)
+				d.core.ProbeEnded(now, hostID, load)
 			})
 		},
 	}, false)
--- a/internal/routing/size_test.go
+++ b/internal/routing/size_test.go
@@ -131,7 +131,7 @@
 	known := func() (hosts, draining int, rev int64) {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		return len(d.list.addr), len(d.list.drains), d.list.rev
+		return len(d.discovery.addrByID), len(d.discovery.drainingBootMS), d.discovery.revision
 	}
 	lists <- marshal(t, protocol.HostList{Revision: 1, Full: true, Hosts: largeHosts(5000, "in_service")})
 	eventually(t, 2*time.Second, "the whole list", func() bool { hosts, _, _ := known(); return hosts == largeFleet })
@@ -178,7 +178,7 @@
 	if err := d.JoinPeers(own, addrs, ""); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { d.tells.socket.Close() })
+	t.Cleanup(func() { d.peers.socket.Close() })
 }
 
 // receive counts what each gets within a time, and gives the messages that it got.
@@ -222,13 +222,13 @@
 	for i, c := range peers {
 		var out []logic.PeerEntry // as many as a datagram holds: a hop that is out at one host, and others with none any more
 		for k := range toldEach {
-			id, _ := d.list.number(fmt.Sprintf("host-%08x", (i+k)%largeFleet))
+			id, _ := d.discovery.hostIDFor(fmt.Sprintf("host-%08x", (i+k)%largeFleet))
 			out = append(out, logic.PeerEntry{Kind: logic.EntryInFlight, Host: id, InFlight: 1 / (1 + k)})
 		}
-		for msg := range d.opened.EncodePeerMessages(out) {
+		for msg := range d.core.EncodePeerMessages(out) {
 			c.WriteToUDPAddrPort(msg, at)
 		}
-		for msg := range d.opened.EncodePeerMessages([]logic.PeerEntry{{Kind: logic.EntryPickRequest}}) {
+		for msg := range d.core.EncodePeerMessages([]logic.PeerEntry{{Kind: logic.EntryPickRequest}}) {
 			c.WriteToUDPAddrPort(msg, at)
 		}
 	}
@@ -239,7 +239,7 @@
 		if len(got) != 1 {
 			t.Fatalf("gateway %d: %d answers", i+1, len(got))
 		}
-		held, err := d.opened.DecodePeerMessage(got[0])
+		held, err := d.core.DecodePeerMessage(got[0])
 		if err != nil || len(held) != 1 || held[0].Kind != logic.EntryPickResponse || held[0].Host == 0 {
 			t.Fatalf("gateway %d is answered %+v, %v", i+1, held, err)
 		}
@@ -268,12 +268,12 @@
 	for i := range largeFleet {
 		held = append(held, logic.PeerEntry{Kind: logic.EntryInFlight, Host: logic.HostID(1 + i), InFlight: 1 + i%7})
 	}
-	messages := len(slices.Collect(d.opened.EncodePeerMessages(held)))
-	go d.decide(func(time.Duration) { d.SendPeerMessage(-1, held) })
+	messages := len(slices.Collect(d.core.EncodePeerMessages(held)))
+	go d.callCore(func(time.Duration) { d.SendPeerMessage(-1, held) })
 	for i, got := range peers[1:].receive(10*time.Second, messages) {
 		var read []logic.PeerEntry
 		for _, msg := range got {
-			part, err := d.opened.DecodePeerMessage(msg)
+			part, err := d.core.DecodePeerMessage(msg)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -286,7 +286,7 @@
 	if n := d.Counters.PeerMessagesUnsent.Load(); n != 0 {
 		t.Errorf("%d datagrams not sent", n)
 	}
-	d.decide(func(time.Duration) { d.SendPeerMessage(largeFleet-1, held[:1]) })
+	d.callCore(func(time.Duration) { d.SendPeerMessage(largeFleet-1, held[:1]) })
 	if got := peers[largeFleet-1:].receive(time.Second, 1); len(got[0]) != 1 {
 		t.Error("the last gateway is not told")
 	}
@@ -301,14 +301,14 @@
 	silent, _ := discoveryOf(t)
 	before := openDesk(t, largeSettings(), 400)
 	before.Start(7, silent, known())
-	before.decide(func(now time.Duration) {
-		what := before.opened.ExportLearned(now)
+	before.callCore(func(now time.Duration) {
+		what := before.core.ExportLearned(now)
 		for i := range what.Hosts {
 			h := &what.Hosts[i]
 			h.Weight, h.Pace, h.Latency = 0.5+float64(i)/largeFleet/3, logic.SmoothedMean{Value: 1.0 / 3, N: 7}, logic.SmoothedMean{Value: 1e9 / 3, N: 1e4 / 3}
 			h.Share, h.Open, h.Cool = 1.0/3, 4*time.Second, 5*time.Second
 		}
-		before.opened.ImportLearned(now, what, 0)
+		before.core.ImportLearned(now, what, 0)
 	})
 	if err := before.ListenForHandover(path); err != nil {
 		t.Fatal(err)
@@ -318,14 +318,14 @@
 	if err := after.ListenForHandover(path); err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%d bytes handed over within %v", len(before.learned()), time.Since(began))
+	t.Logf("%d bytes handed over within %v", len(before.encodeLearnedState()), time.Since(began))
 	addr, lists := discoveryOf(t)
 	after.Start(7, addr, nil)
 	lists <- marshal(t, known())
-	eventually(t, 2*time.Second, "the list", func() bool { after.mu.Lock(); defer after.mu.Unlock(); return after.list.has })
+	eventually(t, 2*time.Second, "the list", func() bool { after.mu.Lock(); defer after.mu.Unlock(); return after.discovery.hasList })
 	var was, is logic.LearnedState
-	before.decide(func(now time.Duration) { was = before.opened.ExportLearned(now) })
-	after.decide(func(now time.Duration) { is = after.opened.ExportLearned(now) })
+	before.callCore(func(now time.Duration) { was = before.core.ExportLearned(now) })
+	after.callCore(func(now time.Duration) { is = after.core.ExportLearned(now) })
 	if len(is.Hosts) != largeFleet || len(was.Hosts) != largeFleet {
 		t.Fatalf("%d hosts of %d", len(is.Hosts), len(was.Hosts))
 	}
--- a/internal/routing/stream_test.go
+++ b/internal/routing/stream_test.go
@@ -43,7 +43,7 @@
 // playScripted is a stage with one such host.
 func playScripted(serve func(nc net.Conn, head *http.Request)) *stage {
 	s := play()
-	s.takeList(s.list.line, 1, &protocol.HostList{Revision: 5, Full: true, Hosts: []protocol.HostEntry{s.scripted(serve)}})
+	s.applyList(s.discovery.conn, 1, &protocol.HostList{Revision: 5, Full: true, Hosts: []protocol.HostEntry{s.scripted(serve)}})
 	return s
 }
 
@@ -52,7 +52,7 @@
 // An answer over the usual size goes on as it comes, in each form that hosts have for its end, also to a client that reads slowly,
 // and the first bytes do not wait for the last. One that breaks off does so for its client too; one that is too long, or may not pass,
 // may have run. The module hears no more of it once it has begun.
-func ExampleDispatcher_stream() {
+func ExampleDispatcher_streamResponse() {
 	goOn := make(chan bool)
 	s := playScripted(func(nc net.Conn, head *http.Request) {
 		long := bytesOf(3 * megabyte)
@@ -151,7 +151,7 @@
 // A body that is too long to be held is passed on as it comes, and the time of its transaction counts from its last byte. A host that
 // answers before that is heard, and both connections close; a client that breaks off, or sends too slowly or what makes no sense, has
 // not had it run.
-func ExampleDispatcher_feed() {
+func ExampleDispatcher_forwardBody() {
 	ends := make(chan string, 9)
 	s := playScripted(func(nc net.Conn, head *http.Request) {
 		if head.URL.RawQuery == "early" {
@@ -168,7 +168,7 @@
 		answer := fmt.Sprint(n, head.TransferEncoding)
 		fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(answer), answer)
 	})
-	s.large.Store(0) // no room to hold any
+	s.bodyBudget.Store(0) // no room to hold any
 	begin := func(do, framing string) *line {
 		c := s.dial()
 		fmt.Fprintf(c, "POST /pay?%s HTTP/1.1\r\nX-Trace-Id: f-%s\r\nX-Qos: pay\r\nX-Expires-In-Ms: 900\r\n%s\r\n\r\n", do, do, framing)
@@ -223,7 +223,7 @@
 
 // Of a body that can't be sent again only a hop that never was up may be followed by another; one that broke within it is rolled
 // back at once.
-func ExampleDispatcher_feed_again() {
+func ExampleDispatcher_forwardBody_again() {
 	s := play()
 	breaks := s.scripted(func(nc net.Conn, head *http.Request) {
 		io.CopyN(io.Discard, head.Body, 200_000)
@@ -231,8 +231,8 @@
 		nc.Close()
 	})
 	down := protocol.HostEntry{UID: "down", Endpoint: "127.0.0.1:1", Zone: "a", State: "in_service"}
-	s.takeList(s.list.line, 1, &protocol.HostList{Revision: 5, Full: true, Hosts: []protocol.HostEntry{down, breaks}})
-	s.large.Store(0)
+	s.applyList(s.discovery.conn, 1, &protocol.HostList{Revision: 5, Full: true, Hosts: []protocol.HostEntry{down, breaks}})
+	s.bodyBudget.Store(0)
 	for i := range 3 {
 		c := s.dial()
 		fmt.Fprintf(c, "POST /pay?x HTTP/1.1\r\nX-Trace-Id: %d\r\nX-Qos: pay\r\nX-Expires-In-Ms: 900\r\nContent-Length: 3145728\r\n\r\n", i)
@@ -251,7 +251,7 @@
 // An answer that does not say its size and comes slowly goes on as it comes, and not only once 64 KiB are there: held until then, it
 // would be cut off as its transaction's time is up while its host still gives it. Pauses fall where they hurt most: within a chunk's
 // length, before its end, within the end of all.
-func ExampleDispatcher_stream_slowly() {
+func ExampleDispatcher_streamResponse_slowly() {
 	s := playScripted(func(nc net.Conn, head *http.Request) {
 		io.WriteString(nc, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 		for _, piece := range []string{"", "1", "0\r\n0123456789", "abcdef", "\r", "\n5\r", "\nvwxyz\r\n0", "\r\nTrailer: t", "\r\n\r", "\n"} {
@@ -295,7 +295,7 @@
 // A host that drains goes as soon as it has written all, and what its socket holds goes with it: a client that takes nothing
 // meanwhile had lost the end, or all that the host gave before it broke off. The host goes on once it is told that it drains, and
 // resets its connection once its socket holds nothing.
-func ExampleDispatcher_stream_fromWhatDrains() {
+func ExampleDispatcher_streamResponse_fromWhatDrains() {
 	// What a machine takes in for a program is bounded by it. The whole is far over what comes along without being asked for, if it can be.
 	most, all := 0, 3*megabyte
 	if text, err := os.ReadFile("/proc/sys/net/core/rmem_max"); err == nil {
@@ -346,21 +346,21 @@
 // slowClientOfDrainingHost is a client whose answer has begun and which takes no more of it, so that the gateway waits for it and looks at the
 // host meanwhile. The host, the only one, is told to drain then.
 func (s *stage) slowClientOfDrainingHost(host protocol.HostEntry, began <-chan bool) *line {
-	s.takeList(s.list.line, 1, &protocol.HostList{Revision: 5, Full: true, Hosts: []protocol.HostEntry{host}})
+	s.applyList(s.discovery.conn, 1, &protocol.HostList{Revision: 5, Full: true, Hosts: []protocol.HostEntry{host}})
 	c := s.dial()
 	c.Conn.(*net.TCPConn).SetReadBuffer(64 << 10)
 	io.WriteString(c, text("read", "long", ""))
 	<-began
 	c.r.Peek(1)
 	host.State = "terminating"
-	s.takeList(s.list.line, 0, &protocol.HostList{Revision: 6, Hosts: []protocol.HostEntry{host}})
+	s.applyList(s.discovery.conn, 0, &protocol.HostList{Revision: 6, Hosts: []protocol.HostEntry{host}})
 	return c
 }
 
 // An answer that says neither its length nor its chunks is whole where its host closes the connection, and broken off where that is reset. The
 // order that lost requests: the host drains, so the gateway looks whether more has come, and the reset is there as it looks. On Linux a look
 // takes a connection's error with it, and the next read finds a proper end.
-func ExampleDispatcher_stream_resetWithoutLength() {
+func ExampleDispatcher_streamResponse_resetWithoutLength() {
 	const all = megabyte
 	for _, end := range []string{"closed", "reset"} {
 		s := play()
@@ -398,7 +398,7 @@
 
 // A client closes while its answer is under way and its host has fallen silent: the host's connection is given up at once. It was kept for the
 // ten seconds for which a host may be silent, each time that a client gave up on such an answer.
-func ExampleDispatcher_stream_clientLeaves() {
+func ExampleDispatcher_streamResponse_clientLeaves() {
 	silent, ended := make(chan bool), make(chan time.Time)
 	s := playScripted(func(nc net.Conn, head *http.Request) {
 		fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\n\r\n%s", bytesOf(80_000))
--- a/internal/routing/takein.go
+++ b/internal/routing/takein.go
@@ -11,85 +11,85 @@
 	"spanmux/internal/transport"
 )
 
-// client takes in what comes on a client's connection, one transaction after the other.
-func (d *Dispatcher) client(c *transport.Client) {
+// serveClient takes in what comes on a client's connection, one transaction after the other.
+func (d *Dispatcher) serveClient(c *transport.Client) {
 	var head protocol.Head
 	for {
 		err := c.AwaitRequest()
 		if errors.Is(err, transport.ErrShuttingDown) { // nothing has come, so nothing is owed where it can't be handed over
 			d.handOver(c)
 		}
-		if err != nil || !d.next(c, &head) {
+		if err != nil || !d.serveRequest(c, &head) {
 			return
 		}
 	}
 }
 
-// next takes in one message; it is false where the connection ends.
-func (d *Dispatcher) next(c *transport.Client, head *protocol.Head) bool {
-	held := 0
-	defer func() { d.large.Add(int64(held)) }()
-	said, err := protocol.ReadTransaction(c.Reader, head, func() error { return c.Write(net.Buffers{protocol.ContinueResponse}) },
+// serveRequest takes in one message; it is false where the connection ends.
+func (d *Dispatcher) serveRequest(c *transport.Client, head *protocol.Head) bool {
+	reserved := 0
+	defer func() { d.bodyBudget.Add(int64(reserved)) }()
+	request, err := protocol.ReadTransaction(c.Reader, head, func() error { return c.Write(net.Buffers{protocol.ContinueResponse}) },
 		func(bytes int) bool {
-			if !d.roomFor(bytes) {
+			if !d.reserveBodyBudget(bytes) {
 				return false
 			}
-			held += bytes
+			reserved += bytes
 			return true
 		})
 	switch {
 	case errors.Is(err, transport.ErrShuttingDown):
-		d.turned(c)
+		d.handOverOrReject(c)
 		return false
 	case err != nil:
-		d.answerWrong(c, err)
+		d.respondInvalid(c, err)
 		return false
 	case !c.MarkActive():
 		return false
 	case c.PeerClosed(): // while it waited behind another, or to be accepted
 		d.Counters.ClientLeftBeforeAdmission.Add(1)
 		return false
-	case said.GatewayPath != "":
-		said.Close = said.Close || d.sendsAway() || said.RemainingBody != nil
-		return d.own(c, said) == nil && !said.Close && !c.OverLimit
+	case request.GatewayPath != "":
+		request.Close = request.Close || d.closesClientConns() || request.RemainingBody != nil
+		return d.serveGatewayPath(c, request) == nil && !request.Close && !c.OverLimit
 	}
-	t := &tx{said: said, client: c, taken: time.Now(), settled: make(chan struct{}),
-		early: c.Reader.Buffered() > 0}
-	if said.RemainingBody != nil {
-		t.up = make(chan *transport.BodyWriter, upMost)
+	t := &tx{request: request, client: c, startedAt: time.Now(), done: make(chan struct{}),
+		pipelined: c.Reader.Buffered() > 0}
+	if request.RemainingBody != nil {
+		t.bodyWriters = make(chan *transport.BodyWriter, maxBodyWritersPerTransaction)
 	}
-	if !d.admit(t) || said.RemainingBody != nil && !d.feed(t) {
+	if !d.admit(t) || request.RemainingBody != nil && !d.forwardBody(t) {
 		return false
 	}
 	// While hops are out the connection is watched, as its end is all that a client that leaves says. The
 	// answer is written by whoever has it.
-	if c.WatchForClose(t.over) != nil {
-		if !d.left(t) {
-			d.stopStream(t)
-			<-t.settled
+	if c.WatchForClose(t.isDone) != nil {
+		if !d.clientLeft(t) {
+			d.cancelStream(t)
+			<-t.done
 		}
 		return false
 	}
 	return true
 }
 
-// answerWrong answers what can't be understood; the connection can't be read on.
-func (d *Dispatcher) answerWrong(c *transport.Client, err error) {
-	wrong := protocol.AsHTTPError(err)
-	if wrong == nil {
+// respondInvalid answers what can't be understood; the connection can't be read on.
+func (d *Dispatcher) respondInvalid(c *transport.Client, err error) {
+	httpErr := protocol.AsHTTPError(err)
+	if httpErr == nil {
 		if !errors.Is(err, io.EOF) {
 			d.Counters.ClientReadErrors.Add(1)
 		}
 		return
 	}
-	d.Counters.wrong(wrong.Text, slog.Int("status", wrong.Status))
-	c.WriteFinal(protocol.TextResponse(wrong.Status, wrong.Text+"\n", 0, true))
+	d.Counters.recordInvalidInput(httpErr.Text, slog.Int("status", httpErr.Status))
+	c.WriteFinal(protocol.TextResponse(httpErr.Status, httpErr.Text+"\n", 0, true))
 }
 
-// own answers a call to the gateway itself.
-func (d *Dispatcher) own(c *transport.Client, said *protocol.Transaction) error {
+// serveGatewayPath answers a call to the gateway itself.
+func (d *Dispatcher) serveGatewayPath(c *transport.Client, request *protocol.Transaction) error {
 	status, text := 404, "not here\n"
-	switch said.GatewayPath {
+	switch request.GatewayPath {
 	case protocol.ReadyPath:
 		if status, text = 503, "not ready\n"; d.Ready() {
 			status, text = 200, "ready\n"
@@ -97,13 +97,13 @@
 	case "/counters":
 		status, text = 200, d.CountersText()
 	}
-	return c.Write(bare(said, protocol.TextResponse(status, text, 0, said.Close)))
+	return c.Write(withoutBody(request, protocol.TextResponse(status, text, 0, request.Close)))
 }
 
-// bare leaves out the body of an answer to one that asked for the head alone.
-func bare(said *protocol.Transaction, b net.Buffers) net.Buffers {
-	if said.HeadOnly {
-		return b[:min(len(b), 2)]
+// withoutBody leaves out the body of an answer to one that asked for the head alone.
+func withoutBody(request *protocol.Transaction, response net.Buffers) net.Buffers {
+	if request.HeadOnly {
+		return response[:min(len(response), 2)]
 	}
-	return b
+	return response
 }
--- a/internal/routing/tell.go
+++ b/internal/routing/tell.go
@@ -11,74 +11,74 @@
 	"spanmux/logic"
 )
 
-// tells are the ways to the other gateways.
-type tells struct {
-	socket *transport.DatagramSocket
-	peers  []netip.AddrPort // by number
-	others []netip.AddrPort // without the own one
-	all    netip.AddrPort   // reaches all others at once, where there is one
-	number map[netip.AddrPort]int
+// peerNetwork are the ways to the other gateways.
+type peerNetwork struct {
+	socket        *transport.DatagramSocket
+	addrs         []netip.AddrPort // by number
+	otherAddrs    []netip.AddrPort // without the own one
+	broadcastAddr netip.AddrPort   // reaches all others at once, where there is one
+	indexByAddr   map[netip.AddrPort]int
 }
 
 // SendPeerMessage sends datagrams to one gateway or, with -1, to all others.
-func (d *Dispatcher) SendPeerMessage(gateway int, held []logic.PeerEntry) {
-	if d.tells.socket == nil {
+func (d *Dispatcher) SendPeerMessage(gatewayIndex int, entries []logic.PeerEntry) {
+	if d.peers.socket == nil {
 		return
 	}
-	to := []netip.AddrPort{d.tells.all}
-	if gateway >= 0 {
-		to = d.tells.peers[gateway:][:1]
-	} else if !d.tells.all.IsValid() {
-		to = d.tells.others
+	addrs := []netip.AddrPort{d.peers.broadcastAddr}
+	if gatewayIndex >= 0 {
+		addrs = d.peers.addrs[gatewayIndex:][:1]
+	} else if !d.peers.broadcastAddr.IsValid() {
+		addrs = d.peers.otherAddrs
 	}
-	d.Counters.PickRequests.Add(kinds(held, logic.EntryPickRequest))
-	socket := d.tells.socket
-	for msg := range d.opened.EncodePeerMessages(held) {
+	d.Counters.PickRequests.Add(countEntries(entries, logic.EntryPickRequest))
+	socket := d.peers.socket
+	for msg := range d.core.EncodePeerMessages(entries) {
 		invariant.Check(len(msg) <= config.MaxPeerMessageBytes, "a datagram within its bound")
-		for _, at := range to {
+		for _, addr := range addrs {
 			d.Counters.PeerMessages.Add(1)
-			d.then(func() { d.sendTell(socket, at, msg) })
+			d.afterUnlock(func() { d.sendDatagram(socket, addr, msg) })
 		}
 	}
 }
 
-// kinds is how many of what is told are of a kind.
-func kinds(held []logic.PeerEntry, kind logic.PeerEntryKind) (n int64) {
-	for _, k := range held {
-		if k.Kind == kind {
+// countEntries is how many of what is told are of a kind.
+func countEntries(entries []logic.PeerEntry, kind logic.PeerEntryKind) (n int64) {
+	for _, entry := range entries {
+		if entry.Kind == kind {
 			n++
 		}
 	}
 	return n
 }
 
-func (d *Dispatcher) sendTell(socket *transport.DatagramSocket, at netip.AddrPort, msg []byte) {
-	if err := socket.Send(at, msg); err != nil {
+func (d *Dispatcher) sendDatagram(socket *transport.DatagramSocket, addr netip.AddrPort, msg []byte) {
+	if err := socket.Send(addr, msg); err != nil {
 		d.Counters.PeerMessagesUnsent.Add(1)
-		if d.Counters.lines.allows() {
-			slog.Warn("not told", "to", at, "error", err)
+		if d.Counters.warningLimiter.allow() {
+			slog.Warn("not told", "to", addr, "error", err)
 		}
 	}
 }
 
-// told takes what another gateway tells.
-func (d *Dispatcher) told(addr netip.AddrPort, msg []byte) {
+// datagramReceived takes what another gateway tells.
+func (d *Dispatcher) datagramReceived(addr netip.AddrPort, msg []byte) {
 	d.mu.Lock()
-	from, known := d.tells.number[addr]
-	var held []logic.PeerEntry
+	gatewayIndex, known := d.peers.indexByAddr[addr]
+	var entries []logic.PeerEntry
 	var err error
 	if known && len(msg) <= config.MaxPeerMessageBytes {
-		held, err = d.opened.DecodePeerMessage(msg)
+		entries, err = d.core.DecodePeerMessage(msg)
 	}
 	d.mu.Unlock()
 	if !known || err != nil || len(msg) > config.MaxPeerMessageBytes {
 		d.Counters.PeerMessagesInvalid.Add(1)
-		if d.Counters.lines.allows() {
+		if d.Counters.warningLimiter.allow() {
 			slog.Warn("datagram dropped", "from", addr, "known", known, "bytes", len(msg), "error", err)
 		}
 		return
 	}
 	d.Counters.PeerMessagesReceived.Add(1)
-	d.Counters.PickResponses.Add(kinds(held, logic.EntryPickResponse))
-	d.decide(func(now time.Duration) { d.opened.PeerMessageReceived(now, from, held) })
+	d.Counters.PickResponses.Add(countEntries(entries, logic.EntryPickResponse))
+	d.callCore(func(now time.Duration) { d.core.PeerMessageReceived(now, gatewayIndex, entries) })
 }
--- a/internal/routing/told_test.go
+++ b/internal/routing/told_test.go
@@ -98,7 +98,7 @@
 	call := w.call
 	w.began, w.waits = f.now, false
 	f.calls = append(f.calls, f.now)
-	f.in(watchWait+listLate, func() { w.ends(call, true) })
+	f.in(listWatchDuration+listWatchGrace, func() { w.ends(call, true) })
 	switch {
 	case f.down == "silent":
 		return
@@ -119,7 +119,7 @@
 			w.told(call)
 		default:
 			w.waits = true
-			f.in(max(0, w.began+watchWait-f.now), func() {
+			f.in(max(0, w.began+listWatchDuration-f.now), func() {
 				if w.waits && w.call == call {
 					w.told(call)
 				}
@@ -153,7 +153,7 @@
 		w.ask()
 		return
 	}
-	w.f.in(backoff(w.f.now-w.began, w.f.jitter.Float64()), w.ask)
+	w.f.in(listBackoff(w.f.now-w.began, w.f.jitter.Float64()), w.ask)
 }
 
 // play plays how discovery fails, and gives the longest time from the change, and from when discovery could be reached, to the last gateway
@@ -164,7 +164,7 @@
 	for range f.gateways {
 		w := &watching{f: f}
 		f.watches = append(f.watches, w)
-		f.in(time.Duration(f.jitter.Float64()*float64(max(f.round, watchWait))), w.ask)
+		f.in(time.Duration(f.jitter.Float64()*float64(max(f.round, listWatchDuration))), w.ask)
 	}
 	reached := change
 	f.in(change-step, func() {
@@ -264,10 +264,10 @@
 
 // Whatever way a call ends, and however long it was out, the next begins within 4 s of its beginning; the answer's queue makes it 6 s.
 func Example_toldAtTheLatest() {
-	longest := watchWait + listLate
-	for out := time.Duration(0); out <= max(watchWait+listLate, callLate, 2*time.Second); out += time.Millisecond { // 2 s: a connection that never comes up
-		longest = max(longest, out+backoff(out, 0.999999))
-		if out+backoff(out, 0) < backoffLeast {
+	longest := listWatchDuration + listWatchGrace
+	for out := time.Duration(0); out <= max(listWatchDuration+listWatchGrace, listCallTimeout, 2*time.Second); out += time.Millisecond { // 2 s: a connection that never comes up
+		longest = max(longest, out+listBackoff(out, 0.999999))
+		if out+listBackoff(out, 0) < minListBackoff {
 			fmt.Println("too soon:", out)
 		}
 	}
@@ -416,7 +416,7 @@
 		}
 	}))
 	go d.serve()
-	s.decide(func(time.Duration) { s.rediscover(d.at) })
+	s.callCore(func(time.Duration) { s.changeDiscoveryAddr(d.at) })
 	<-d.waits
 	s.ask("pay", "go")
 	d.had = time.Now()
@@ -425,7 +425,7 @@
 	}
 	close(d.fails)
 	for known := false; !known && time.Since(d.had) < toldWithin; time.Sleep(10 * time.Millisecond) {
-		s.decide(func(time.Duration) { known = !s.list.takes(s.list.ids["one"]) })
+		s.callCore(func(time.Duration) { known = !s.discovery.acceptsNewHops(s.discovery.idByUID["one"]) })
 	}
 	s.ask("pay", "after")
 	return strings.Join(s.lines, "; ")
@@ -471,7 +471,7 @@
 	s.untilRev(5)
 	began := time.Now()
 	s.until("five more calls", func() bool { return s.Counters.ListCalls.Load() >= 6 })
-	fmt.Println("pauses:", time.Since(began) >= 4*hurry)
+	fmt.Println("pauses:", time.Since(began) >= 4*minListCallPause)
 	// Output: pauses: true
 }
 
@@ -481,7 +481,7 @@
 	s := playBy(strings.NewReplacer(`"balancers":2`, `"balancers":300`, `"askWithin":200000`, `"askWithin":10000000`, `"mayTell":true`,
 		`"mayTell":false`).Replace(settings), "one")
 	refuses := s.listen(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(503) }))
-	s.decide(func(time.Duration) { s.rediscover(refuses) })
+	s.callCore(func(time.Duration) { s.changeDiscoveryAddr(refuses) })
 	time.Sleep(9 * time.Second)
 	calls := s.Counters.ListCalls.Load() // by the backoff no more than one a second, by the module as many at the most
 	fmt.Println("had again:", calls >= 4, "no more than both would:", calls <= 18)
