--- a/internal/control/door.go
+++ b/internal/control/door.go
@@ -31,14 +31,14 @@
 	FailedCalls    atomic.Int64 // answered with anything else
 	Evicted        atomic.Int64 // callers closed for others
 
-	mu      sync.Mutex
-	callers []*caller // in the order in which they came
+	mu    sync.Mutex
+	conns []*adminConn // in the order in which they came
 }
 
-// caller is a connection; its call has been heard once it is whole.
-type caller struct {
-	nc    net.Conn
-	heard bool // guarded by the door
+// adminConn is a connection; its call has been heard once it is whole.
+type adminConn struct {
+	nc          net.Conn
+	requestRead bool // guarded by the door
 }
 
 // Listen opens the door of a gateway.
@@ -50,120 +50,120 @@
 	return &AdminServer{ln: ln, gateway: gateway}, nil
 }
 
-func (d *AdminServer) Addr() string { return d.ln.Addr().String() }
+func (s *AdminServer) Addr() string { return s.ln.Addr().String() }
 
 // Close takes no more calls.
-func (d *AdminServer) Close() { d.ln.Close() }
+func (s *AdminServer) Close() { s.ln.Close() }
 
 // Serve answers calls until Close.
-func (d *AdminServer) Serve() {
+func (s *AdminServer) Serve() {
 	for {
-		nc, err := d.ln.Accept()
+		nc, err := s.ln.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
 			slog.Warn("accept at the door", "error", err)
-			time.Sleep(acceptAgain)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		c := &caller{nc: nc}
-		if !d.enter(c) {
+		c := &adminConn{nc: nc}
+		if !s.register(c) {
 			nc.Close()
 			continue
 		}
 		go func() {
-			defer d.leave(c)
-			d.answer(c)
+			defer s.unregister(c)
+			s.serveConn(c)
 		}()
 	}
 }
 
-// enter takes a place for a caller. Those that have said nothing, or half a call, stay for as long as they like, so the one
+// register takes a place for a caller. Those that have said nothing, or half a call, stay for as long as they like, so the one
 // of them that came first gives way; one that is being answered is done in a moment.
-func (d *AdminServer) enter(c *caller) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if len(d.callers) >= MaxConnections {
-		i := slices.IndexFunc(d.callers, func(c *caller) bool { return !c.heard })
+func (s *AdminServer) register(c *adminConn) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if len(s.conns) >= MaxConnections {
+		i := slices.IndexFunc(s.conns, func(c *adminConn) bool { return !c.requestRead })
 		if i < 0 {
-			d.FailedCalls.Add(1)
+			s.FailedCalls.Add(1)
 			return false
 		}
-		d.callers[i].nc.Close()
-		d.callers = slices.Delete(d.callers, i, i+1)
-		d.Evicted.Add(1)
+		s.conns[i].nc.Close()
+		s.conns = slices.Delete(s.conns, i, i+1)
+		s.Evicted.Add(1)
 	}
-	d.callers = append(d.callers, c)
+	s.conns = append(s.conns, c)
 	return true
 }
 
-func (d *AdminServer) leave(c *caller) {
+func (s *AdminServer) unregister(c *adminConn) {
 	c.nc.Close()
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if i := slices.Index(d.callers, c); i >= 0 {
-		d.callers = slices.Delete(d.callers, i, i+1)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if i := slices.Index(s.conns, c); i >= 0 {
+		s.conns = slices.Delete(s.conns, i, i+1)
 	}
 }
 
-// answer hears a call and answers it.
-func (d *AdminServer) answer(c *caller) {
-	c.nc.SetReadDeadline(time.Now().Add(callWithin))
-	r := bufio.NewReaderSize(c.nc, callBuffer)
-	status, allow, text, err := d.call(r, c)
+// serveConn hears a call and answers it.
+func (s *AdminServer) serveConn(c *adminConn) {
+	c.nc.SetReadDeadline(time.Now().Add(readTimeout))
+	r := bufio.NewReaderSize(c.nc, readBufferBytes)
+	status, allow, body, err := s.handle(r, c)
 	if err != nil { // it left, or said nothing
-		d.FailedCalls.Add(1)
+		s.FailedCalls.Add(1)
 		return
 	}
 	if status == 200 {
-		d.SucceededCalls.Add(1)
+		s.SucceededCalls.Add(1)
 	} else {
-		d.FailedCalls.Add(1)
+		s.FailedCalls.Add(1)
 	}
-	c.nc.SetWriteDeadline(time.Now().Add(writeWithin))
-	answer := protocol.AdminResponse(status, allow, text)
-	if _, err := answer.WriteTo(c.nc); err == nil && c.nc.(*net.TCPConn).CloseWrite() == nil {
+	c.nc.SetWriteDeadline(time.Now().Add(writeTimeout))
+	response := protocol.AdminResponse(status, allow, body)
+	if _, err := response.WriteTo(c.nc); err == nil && c.nc.(*net.TCPConn).CloseWrite() == nil {
 		// Closed with input unread the connection would be reset, and the answer lost with it.
-		c.nc.SetReadDeadline(time.Now().Add(lingerWithin))
-		io.CopyN(io.Discard, c.nc, bodyMost)
+		c.nc.SetReadDeadline(time.Now().Add(closeLingerTimeout))
+		io.CopyN(io.Discard, c.nc, maxBodyBytes)
 	}
 }
 
-// call gives the answer to a call; allow is the method that its path has, where it came with another.
-func (d *AdminServer) call(r *bufio.Reader, c *caller) (status int, allow string, text []byte, err error) {
-	method, path, err := protocol.ReadAdminRequest(r, bodyMost, func() error { _, err := c.nc.Write(protocol.ContinueResponse); return err })
+// handle gives the answer to a call; allow is the method that its path has, where it came with another.
+func (s *AdminServer) handle(r *bufio.Reader, c *adminConn) (status int, allow string, body []byte, err error) {
+	method, path, err := protocol.ReadAdminRequest(r, maxBodyBytes, func() error { _, err := c.nc.Write(protocol.ContinueResponse); return err })
 	if err != nil {
-		wrong := protocol.AsHTTPError(err)
-		if wrong == nil {
+		httpErr := protocol.AsHTTPError(err)
+		if httpErr == nil {
 			return 0, "", nil, err
 		}
-		return wrong.Status, "", []byte(wrong.Text + "\n"), nil
+		return httpErr.Status, "", []byte(httpErr.Text + "\n"), nil
 	}
-	d.mu.Lock()
-	c.heard = true
-	d.mu.Unlock()
-	var do func() ([]byte, bool)
+	s.mu.Lock()
+	c.requestRead = true
+	s.mu.Unlock()
+	var action func() ([]byte, bool)
 	allow = "PUT"
-	said := func(yes bool) ([]byte, bool) { return []byte(map[bool]string{true: "yes\n", false: "no\n"}[yes]), yes }
+	yesOrNo := func(ok bool) ([]byte, bool) { return []byte(map[bool]string{true: "yes\n", false: "no\n"}[ok]), ok }
 	switch path {
 	case "/-/ready":
-		allow, do = "GET", func() ([]byte, bool) { return said(d.gateway.Ready()) }
+		allow, action = "GET", func() ([]byte, bool) { return yesOrNo(s.gateway.Ready()) }
 	case "/-/metrics":
-		allow, do = "GET", func() ([]byte, bool) { return d.gateway.MetricsJSON(), true }
+		allow, action = "GET", func() ([]byte, bool) { return s.gateway.MetricsJSON(), true }
 	case "/-/drain":
-		do = func() ([]byte, bool) { return said(d.gateway.SetDraining(true)) }
+		action = func() ([]byte, bool) { return yesOrNo(s.gateway.SetDraining(true)) }
 	case "/-/resume":
-		do = func() ([]byte, bool) { return said(d.gateway.SetDraining(false)) }
+		action = func() ([]byte, bool) { return yesOrNo(s.gateway.SetDraining(false)) }
 	default:
 		return 404, "", []byte("not here\n"), nil
 	}
 	if method != allow {
 		return 405, allow, []byte("not this way\n"), nil
 	}
-	text, yes := do()
-	if !yes {
-		return 503, "", text, nil
+	body, ok := action()
+	if !ok {
+		return 503, "", body, nil
 	}
-	return 200, "", text, nil
+	return 200, "", body, nil
 }
--- a/internal/control/door_test.go
+++ b/internal/control/door_test.go
@@ -9,24 +9,24 @@
 	"time"
 )
 
-// stub is a gateway that is told.
-type stub struct{ away atomic.Bool }
+// stubGateway is a gateway that is told.
+type stubGateway struct{ draining atomic.Bool }
 
-func (s *stub) Ready() bool         { return !s.away.Load() }
-func (s *stub) MetricsJSON() []byte { return []byte(`{"outstanding":2}`) }
-func (s *stub) SetDraining(away bool) bool {
-	s.away.Store(away)
+func (s *stubGateway) Ready() bool         { return !s.draining.Load() }
+func (s *stubGateway) MetricsJSON() []byte { return []byte(`{"outstanding":2}`) }
+func (s *stubGateway) SetDraining(draining bool) bool {
+	s.draining.Store(draining)
 	return true
 }
 
-func open() (*AdminServer, func(call string) string) {
-	door, err := Listen("127.0.0.1:0", &stub{})
+func startTestServer() (*AdminServer, func(call string) string) {
+	server, err := Listen("127.0.0.1:0", &stubGateway{})
 	if err != nil {
 		panic(err)
 	}
-	go door.Serve()
-	return door, func(call string) string {
-		nc, err := net.Dial("tcp", door.Addr())
+	go server.Serve()
+	return server, func(call string) string {
+		nc, err := net.Dial("tcp", server.Addr())
 		if err != nil {
 			return err.Error()
 		}
@@ -51,8 +51,8 @@
 
 // Each call gets one answer, sensible also where it is repeated, unknown, comes in another way or can't be read.
 func ExampleAdminServer() {
-	door, call := open()
-	defer door.Close()
+	server, call := startTestServer()
+	defer server.Close()
 	for _, c := range []string{"GET /-/ready", "PUT /-/drain", "PUT /-/drain", "GET /-/ready", "PUT /-/resume", "PUT /-/resume",
 		"GET /-/ready?now", "GET /-/metrics", "POST /-/drain", "HEAD /-/ready", "GET /", "GET"} {
 		fmt.Println(c, "->", call(c+" HTTP/1.1\r\nHost: door\r\n\r\n"))
@@ -61,7 +61,7 @@
 	fmt.Println("torn ->", call("GET /-/ready HTTP/1.1\r\nHo"))
 	fmt.Println("long ->", call("GET /-/ready HTTP/1.1\r\nX: "+strings.Repeat("x", 5000)+"\r\n\r\n"))
 	fmt.Println("nothing ->", call("") == ": ")
-	fmt.Println("yes:", door.SucceededCalls.Load(), "other:", door.FailedCalls.Load())
+	fmt.Println("yes:", server.SucceededCalls.Load(), "other:", server.FailedCalls.Load())
 	// Output:
 	// GET /-/ready -> 200 OK: yes
 	// PUT /-/drain -> 200 OK: yes
@@ -84,10 +84,10 @@
 
 // Callers that say nothing, or half a call, keep no call out, however many they are.
 func ExampleAdminServer_silent() {
-	door, call := open()
-	defer door.Close()
+	server, call := startTestServer()
+	defer server.Close()
 	for i := range 500 {
-		nc, err := net.Dial("tcp", door.Addr())
+		nc, err := net.Dial("tcp", server.Addr())
 		if err != nil {
 			panic(err)
 		}
@@ -95,6 +95,6 @@
 		io.WriteString(nc, strings.Repeat("GET /-/ready HT", i%2))
 	}
 	began := time.Now()
-	fmt.Println(call("GET /-/ready HTTP/1.1\r\n\r\n"), time.Since(began) < time.Second, door.Evicted.Load() > 400)
+	fmt.Println(call("GET /-/ready HTTP/1.1\r\n\r\n"), time.Since(began) < time.Second, server.Evicted.Load() > 400)
 	// Output: 200 OK: yes true true
 }
