--- a/internal/routing/daily_test.go
+++ b/internal/routing/daily_test.go
@@ -16,34 +16,34 @@
 // Clients that are sent away lose nothing: what comes is answered and told to close, what is idle closes soon, and the gateway
 // says no until it is told to take them again. One told to close in between closes.
 func ExampleDispatcher_SetDraining() {
-	s := play("one")
+	s := newTestGateway("one")
 	ready := func() {
 		c := s.dial()
 		defer c.Close()
 		io.WriteString(c, "GET /ready HTTP/1.1\r\n\r\n")
-		s.get(c, "ready")
+		s.logResponse(c, "ready")
 	}
 	idle, busy, later := s.dial(), s.dial(), s.dial()
-	for _, c := range []*line{idle, later} {
-		io.WriteString(c, text("read", "go", ""))
-		s.get(c, "before")
+	for _, c := range []*clientConn{idle, later} {
+		io.WriteString(c, requestText("read", "go", ""))
+		s.logResponse(c, "before")
 	}
-	io.WriteString(busy, text("read", "slow", ""))
-	s.untilLine("one: GET /read?slow")
-	told := time.Now()
-	s.say("drain %t, again %t, takes clients %t", s.SetDraining(true), s.SetDraining(true), s.Ready())
+	io.WriteString(busy, requestText("read", "slow", ""))
+	s.waitForLine("one: GET /read?slow")
+	drainedAt := time.Now()
+	s.logf("drain %t, again %t, takes clients %t", s.SetDraining(true), s.SetDraining(true), s.Ready())
 	ready()
-	s.ask("read", "new")
-	io.WriteString(later, text("read", "later", ""))
-	s.get(later, "on an open one")
-	s.get(idle, "idle")
-	s.say("within 2 s: %t", time.Since(told) < 2*time.Second)
-	s.get(busy, "busy")
-	s.say("resume %t, again %t, takes clients %t", s.SetDraining(false), s.SetDraining(false), s.Ready())
+	s.roundTrip("read", "new")
+	io.WriteString(later, requestText("read", "later", ""))
+	s.logResponse(later, "on an open one")
+	s.logResponse(idle, "idle")
+	s.logf("within 2 s: %t", time.Since(drainedAt) < 2*time.Second)
+	s.logResponse(busy, "busy")
+	s.logf("resume %t, again %t, takes clients %t", s.SetDraining(false), s.SetDraining(false), s.Ready())
 	ready()
 	s.Close()
-	s.say("at the end: drain %t, resume %t, takes clients %t", s.SetDraining(true), s.SetDraining(false), s.Ready())
-	s.print()
+	s.logf("at the end: drain %t, resume %t, takes clients %t", s.SetDraining(true), s.SetDraining(false), s.Ready())
+	s.printLog()
 	// Output:
 	// one: GET /read?go ""
 	// before: 200 "answer to go"
@@ -67,20 +67,20 @@
 // Each answer to a transaction of a known profile counts once, by what its client got, hops by what was written whole, and
 // nothing stays open. A host whose breaker is open is avoided.
 func ExampleDispatcher_MetricsJSON() {
-	s := play("one", "down")
+	s := newTestGateway("one", "down")
 	for _, do := range []string{"go", "go", "error", "decline", "full"} {
-		s.ask("pay", do)
+		s.roundTrip("pay", do)
 	}
-	s.ask("nothing", "go")
+	s.roundTrip("nothing", "go")
 	c := s.dial()
-	io.WriteString(c, strings.Replace(text("read", "go", ""), "GET", "POST", 1))
-	s.get(c, "wrong method")
+	io.WriteString(c, strings.Replace(requestText("read", "go", ""), "GET", "POST", 1))
+	s.logResponse(c, "wrong method")
 	c = s.dial()
-	io.WriteString(c, text("read", "wait", ""))
-	s.untilLine("one: GET /read?wait")
+	io.WriteString(c, requestText("read", "wait", ""))
+	s.waitForLine("one: GET /read?wait")
 	fmt.Println(string(s.MetricsJSON()))
 	c.Close()
-	s.untilLine("one: given up")
+	s.waitForLine("one: given up")
 	s.callCore(func(time.Duration) { s.discovery.addrByID[7] = "127.0.0.1:1" })
 	fmt.Println(string(s.MetricsJSON()))
 	// Output:
@@ -97,22 +97,22 @@
 	}
 	defer os.RemoveAll(dir)
 	path := filepath.Join(dir, "heir")
-	begins := func(what string) {
-		s := play("one")
-		fmt.Println(what, s.ListenForHandover(path))
+	startAndReport := func(label string) {
+		s := newTestGateway("one")
+		fmt.Println(label, s.ListenForHandover(path))
 		s.callCore(func(now time.Duration) {
 			s.core.HostListReceived(now, logic.ListComplete, []logic.Host{{ID: 1, Kind: "box", Zone: "a", State: logic.HostReady}})
 			s.importPredecessorState(now)
 			fmt.Println("profiles learnt:", len(s.core.ExportLearned(now).Profiles))
 		})
 	}
-	begins("nobody before:")
-	before := play("one")
-	before.ask("read", "go")
-	before.callCore(func(now time.Duration) { fmt.Print("learns: ", len(before.core.ExportLearned(now).Profiles), " ") })
-	fmt.Println(before.ListenForHandover(path))
-	begins("one before:")
-	for what, says := range map[string]string{"says nothing": "", "nonsense": "\x01\x00\x00\x00\x05abcde", "too much": "\x01\xff\xff\xff\xff", "silent": "-"} {
+	startAndReport("nobody before:")
+	predecessor := newTestGateway("one")
+	predecessor.roundTrip("read", "go")
+	predecessor.callCore(func(now time.Duration) { fmt.Print("learns: ", len(predecessor.core.ExportLearned(now).Profiles), " ") })
+	fmt.Println(predecessor.ListenForHandover(path))
+	startAndReport("one before:")
+	for label, reply := range map[string]string{"says nothing": "", "nonsense": "\x01\x00\x00\x00\x05abcde", "too much": "\x01\xff\xff\xff\xff", "silent": "-"} {
 		os.Remove(path)
 		ln, err := net.Listen("unix", path)
 		if err != nil {
@@ -120,15 +120,15 @@
 		}
 		go func() {
 			nc, err := ln.Accept()
-			if err == nil && says != "-" {
-				io.WriteString(nc, says)
+			if err == nil && reply != "-" {
+				io.WriteString(nc, reply)
 				nc.Close()
 			}
 		}()
-		s, began := play("one"), time.Now()
+		s, began := newTestGateway("one"), time.Now()
 		err = s.ListenForHandover(path)
 		if err != nil || !s.predecessor.receivedAt.IsZero() || time.Since(began) > 2*time.Second {
-			fmt.Println(what, err, s.predecessor.receivedAt, time.Since(began))
+			fmt.Println(label, err, s.predecessor.receivedAt, time.Since(began))
 		}
 		ln.Close()
 	}
@@ -141,19 +141,19 @@
 }
 
 // Asks for a host and their answers are counted, so that it shows when the gateway that draws has fallen silent.
-func ExampleDispatcher_SendPeerMessage_asks() {
-	s := play("one")
+func ExampleDispatcher_SendPeerMessage_pickRequests() {
+	s := newTestGateway("one")
 	s.callCore(func(time.Duration) {
 		s.SendPeerMessage(1, []logic.PeerEntry{{Kind: logic.EntryPickRequest, InFlight: 1}, {Kind: logic.EntryPickRequest}, {Kind: logic.EntryInFlight}})
 	})
-	var at netip.AddrPort
+	var peerAddr netip.AddrPort
 	for addr, number := range s.peers.indexByAddr { // in any order: one is the other gateway's
 		if number == 1 {
-			at = addr
+			peerAddr = addr
 		}
 	}
 	for msg := range s.core.EncodePeerMessages([]logic.PeerEntry{{Kind: logic.EntryPickResponse}, {Kind: logic.EntryInFlight, Host: 1}}) {
-		s.datagramReceived(at, msg)
+		s.datagramReceived(peerAddr, msg)
 	}
 	fmt.Println("asks:", s.Counters.PickRequests.Load(), "answered:", s.Counters.PickResponses.Load(), "told:", s.Counters.PeerMessagesReceived.Load())
 	// Output: asks: 2 answered: 1 told: 1
--- a/internal/routing/endings_test.go
+++ b/internal/routing/endings_test.go
@@ -18,59 +18,59 @@
 	"spanmux/logic"
 )
 
-// gated is a stage whose connections to hosts come up only as the gate lets them; calling one off does not hurry it.
-type gated struct {
-	*stage
+// gatedGateway is a stage whose connections to hosts come up only as the gate lets them; calling one off does not hurry it.
+type gatedGateway struct {
+	*testGateway
 	dials, gate chan bool
 }
 
-func playGated(cancelling bool, hosts ...string) *gated {
-	s := &gated{playBy(strings.Replace(settings, `"cancelling":true`, fmt.Sprintf(`"cancelling":%t`, cancelling), 1), hosts...),
+func newGatedGateway(cancelling bool, hosts ...string) *gatedGateway {
+	g := &gatedGateway{newTestGatewayWith(strings.Replace(testSettings, `"cancelling":true`, fmt.Sprintf(`"cancelling":%t`, cancelling), 1), hosts...),
 		make(chan bool, 9), make(chan bool)}
-	s.callCore(func(time.Duration) {
-		s.pool.Dial = func(_ context.Context, network, addr string) (net.Conn, error) {
-			s.dials <- true
-			<-s.gate
+	g.callCore(func(time.Duration) {
+		g.pool.Dial = func(_ context.Context, network, addr string) (net.Conn, error) {
+			g.dials <- true
+			<-g.gate
 			return net.Dial(network, addr)
 		}
 	})
-	return s
+	return g
 }
 
-// never tells whether something that was waited for has not come about.
-func (s *stage) never() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return slices.ContainsFunc(s.lines, func(l string) bool { return strings.HasPrefix(l, "never") })
+// waitTimedOut tells whether something that was waited for has not come about.
+func (g *testGateway) waitTimedOut() bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return slices.ContainsFunc(g.log, func(l string) bool { return strings.HasPrefix(l, "never") })
 }
 
-var leaves = map[string]func(*line){
-	"closes": func(c *line) { c.Close() },
-	"resets": func(c *line) { c.Conn.(*net.TCPConn).SetLinger(0); c.Close() },
-	"halves": func(c *line) { c.Conn.(*net.TCPConn).CloseWrite() },
+var closeModes = map[string]func(*clientConn){
+	"closes": func(c *clientConn) { c.Close() },
+	"resets": func(c *clientConn) { c.Conn.(*net.TCPConn).SetLinger(0); c.Close() },
+	"halves": func(c *clientConn) { c.Conn.(*net.TCPConn).CloseWrite() },
 }
 
-func (s *stage) untilLeft(n int64) {
-	s.until("client seen to leave", func() bool { return s.Counters.ClientLeft.Load()+s.Counters.ClientLeftBeforeAdmission.Load() == n })
+func (g *testGateway) waitForClientsLeft(n int64) {
+	g.waitFor("client seen to leave", func() bool { return g.Counters.ClientLeft.Load()+g.Counters.ClientLeftBeforeAdmission.Load() == n })
 }
 
 // A connection that came up after its client had left was written to all the same where what runs may not be called off, and a dial that
 // was called off spoke against its host. What no host has yet costs none anything to drop.
-func Example_leavesWhileConnectionComesUp() {
+func Example_clientLeavesDuringConnect() {
 	for _, cancelling := range []bool{true, false} {
 		sent := 0
 		for _, profile := range []string{"read", "order", "pay"} {
-			for _, how := range []string{"closes", "resets", "halves"} {
-				s := playGated(cancelling, "one")
+			for _, mode := range []string{"closes", "resets", "halves"} {
+				s := newGatedGateway(cancelling, "one")
 				c := s.dial()
-				io.WriteString(c, text(profile, "go", ""))
+				io.WriteString(c, requestText(profile, "go", ""))
 				<-s.dials
-				leaves[how](c)
-				s.untilLeft(1)
+				closeModes[mode](c)
+				s.waitForClientsLeft(1)
 				s.gate <- true
-				s.until("withdrawn", func() bool { return s.Counters.HopsWithdrawn.Load() == 1 })
+				s.waitFor("withdrawn", func() bool { return s.Counters.HopsWithdrawn.Load() == 1 })
 				sent += int(s.Counters.HopsWritten.Load())
-				if s.never() {
+				if s.waitTimedOut() {
 					sent++
 				}
 				if n := s.Counters.HopOutcomes[logic.HopNoConnection].Load(); n != 0 {
@@ -87,23 +87,23 @@
 
 // A client that sends on before its answer and then leaves was seen by nobody until that answer, and what it had sent behind was taken
 // then, and sent. The same if both come in one piece, and if the rest comes as the first is out.
-func Example_leavesBehindAnother() {
-	for _, apart := range []bool{false, true} {
-		s := play("one")
+func Example_clientLeavesWhilePipelining() {
+	for _, separately := range []bool{false, true} {
+		s := newTestGateway("one")
 		c := s.dial()
-		first, second := text("pay", "wait", ""), text("pay", "second", "")
-		if apart {
+		first, second := requestText("pay", "wait", ""), requestText("pay", "second", "")
+		if separately {
 			io.WriteString(c, first)
-			s.untilLine("one: POST /pay?wait")
+			s.waitForLine("one: POST /pay?wait")
 			io.WriteString(c, second+strings.Repeat(second, 400)) // more than is read ahead
 		} else {
 			io.WriteString(c, first+second)
-			s.untilLine("one: POST /pay?wait")
+			s.waitForLine("one: POST /pay?wait")
 		}
 		c.Close()
-		s.untilLeft(1)
-		s.until("all closed", func() bool { return s.listener.OpenClients() == 0 })
-		fmt.Println("sent:", s.Counters.Hops.Load(), "left:", s.Counters.ClientLeft.Load(), s.never())
+		s.waitForClientsLeft(1)
+		s.waitFor("all closed", func() bool { return s.listener.OpenClients() == 0 })
+		fmt.Println("sent:", s.Counters.Hops.Load(), "left:", s.Counters.ClientLeft.Load(), s.waitTimedOut())
 	}
 	// Output:
 	// sent: 1 left: 1 false
@@ -111,54 +111,54 @@
 }
 
 // A message that waits to be accepted, as the listener is at its limit, is not taken once its client has closed.
-func Example_leavesUnaccepted() {
-	s := play("one")
+func Example_clientLeavesBeforeAccept() {
+	s := newTestGateway("one")
 	c := s.dial()
 	io.WriteString(c, "GET /ready HTTP/1.1\r\nConnection: close\r\n\r\n")
-	s.get(c, "ready")
+	s.logResponse(c, "ready")
 	s.listener.Shutdown()
-	s.until("the end", s.listener.Finished)
+	s.waitFor("the end", s.listener.Finished)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		panic(err)
 	}
 	s.ConfigureListener(ln, false, 400, 0, 2<<20)
-	for _, how := range []string{"closes", "resets", "halves"} {
+	for _, mode := range []string{"closes", "resets", "halves"} {
 		c := s.dial()
-		io.WriteString(c, text("pay", "go", ""))
-		leaves[how](c)
+		io.WriteString(c, requestText("pay", "go", ""))
+		closeModes[mode](c)
 	}
 	go s.listener.Serve(s.serveClient)
-	s.until("all closed", func() bool { return s.listener.Accepted.Load() == 3 && s.listener.OpenClients() == 0 })
-	fmt.Println("taken:", s.Counters.Admitted.Load(), "sent:", s.Counters.Hops.Load(), s.never())
+	s.waitFor("all closed", func() bool { return s.listener.Accepted.Load() == 3 && s.listener.OpenClients() == 0 })
+	fmt.Println("taken:", s.Counters.Admitted.Load(), "sent:", s.Counters.Hops.Load(), s.waitTimedOut())
 	// Output: taken: 0 sent: 0 false
 }
 
 // A client that leaves with its body half come, as the connection to a host comes up, was seen once that was there, and its host kept half
 // a message for an hour where nothing may be called off.
-func Example_leavesWithinBody() {
-	for _, up := range []bool{false, true} {
-		s := playGated(false, "one")
+func Example_clientLeavesDuringBody() {
+	for _, connected := range []bool{false, true} {
+		s := newGatedGateway(false, "one")
 		s.bodyBudget.Store(0) // no room to hold any
 		c := s.dial()
-		io.WriteString(c, strings.Replace(text("pay", "go", ""), "Length: 2", "Length: 100000", 1)+strings.Repeat("a", 50_000))
+		io.WriteString(c, strings.Replace(requestText("pay", "go", ""), "Length: 2", "Length: 100000", 1)+strings.Repeat("a", 50_000))
 		<-s.dials
-		if up {
+		if connected {
 			s.gate <- true
-			s.until("body on its way", func() bool {
+			s.waitFor("body on its way", func() bool {
 				s.Dispatcher.mu.Lock()
 				defer s.Dispatcher.mu.Unlock()
 				return len(s.txs) == 1 && s.txs[1].bodyForwarded
 			})
 		}
 		c.Close()
-		s.untilLeft(1)
-		if !up {
+		s.waitForClientsLeft(1)
+		if !connected {
 			s.gate <- true
 		}
-		s.until("withdrawn", func() bool { return s.Counters.HopsWithdrawn.Load() == 1 && s.listener.OpenClients() == 0 })
-		s.until("its socket is free", func() bool { return s.connLimit.InUse() == 0 })
-		fmt.Println("some passed on:", up, "written whole:", s.Counters.HopsWritten.Load(), s.never())
+		s.waitFor("withdrawn", func() bool { return s.Counters.HopsWithdrawn.Load() == 1 && s.listener.OpenClients() == 0 })
+		s.waitFor("its socket is free", func() bool { return s.connLimit.InUse() == 0 })
+		fmt.Println("some passed on:", connected, "written whole:", s.Counters.HopsWritten.Load(), s.waitTimedOut())
 	}
 	// Output:
 	// some passed on: false written whole: 0 false
@@ -167,26 +167,26 @@
 
 // What waits for a host drawn by another gateway is not sent once its client has left, nor does it go on to the next host as the
 // hop that is out ends.
-func Example_leavesInModule() {
-	s := playBy(strings.Replace(settings, `"balancers":2`, `"me":1,"balancers":21`, 1), "one")
+func Example_clientLeavesDuringPickOrHop() {
+	s := newTestGatewayWith(strings.Replace(testSettings, `"balancers":2`, `"me":1,"balancers":21`, 1), "one")
 	s.callCore(func(time.Duration) { // from here on the module's time goes on as the test has it
 		s.timer.Stop()
 		s.timer = time.AfterFunc(time.Hour, func() {})
 	})
 	c := s.dial()
-	io.WriteString(c, text("pay", "go", ""))
-	s.until("taken", func() bool { return s.Counters.Admitted.Load() == 1 })
+	io.WriteString(c, requestText("pay", "go", ""))
+	s.waitFor("taken", func() bool { return s.Counters.Admitted.Load() == 1 })
 	c.Close()
-	s.untilLeft(1)
+	s.waitForClientsLeft(1)
 	for end := time.Now().Add(300 * time.Millisecond); time.Now().Before(end); { // its wait is over within
 		s.callCore(func(now time.Duration) { s.core.TimerFired(now) })
 	}
 	fmt.Println("asks unanswered, sent:", s.Counters.Hops.Load())
 
-	s = playBy(strings.Replace(settings, `"cancelling":true`, `"cancelling":false`, 1), "one", "two")
+	s = newTestGatewayWith(strings.Replace(testSettings, `"cancelling":true`, `"cancelling":false`, 1), "one", "two")
 	goOn := make(chan bool)
-	entry := s.scripted(func(nc net.Conn, head *http.Request) {
-		s.say("has it")
+	entry := s.startScriptedHost(func(nc net.Conn, head *http.Request) {
+		s.logf("has it")
 		<-goOn
 		io.WriteString(nc, "HTTP/1.1 503 no\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n")
 	})
@@ -194,12 +194,12 @@
 	other.UID = "other"
 	s.applyList(s.discovery.conn, logic.ListComplete, &protocol.HostList{Revision: 5, Full: true, Hosts: []protocol.HostEntry{entry, other}})
 	c = s.dial()
-	io.WriteString(c, text("pay", "go", ""))
-	s.untilLine("has it")
+	io.WriteString(c, requestText("pay", "go", ""))
+	s.waitForLine("has it")
 	c.Close()
-	s.untilLeft(1)
+	s.waitForClientsLeft(1)
 	goOn <- true
-	s.until("turned away", func() bool { return s.Counters.HopOutcomes[logic.HopHostFull].Load() == 1 })
+	s.waitFor("turned away", func() bool { return s.Counters.HopOutcomes[logic.HopHostFull].Load() == 1 })
 	fmt.Println("turned away by the first, sent:", s.Counters.Hops.Load())
 	// Output:
 	// asks unanswered, sent: 0
@@ -208,10 +208,10 @@
 
 // A host that drains while a connection to it comes up gets nothing on that: the grace may be over by then. It never ran, so even a
 // payment goes on to the next host.
-func Example_drainsWhileConnectionComesUp() {
-	s := playGated(true, "one", "two")
+func Example_hostDrainsDuringConnect() {
+	s := newGatedGateway(true, "one", "two")
 	c := s.dial()
-	io.WriteString(c, text("pay", "go", ""))
+	io.WriteString(c, requestText("pay", "go", ""))
 	<-s.dials
 	var first logic.HostID
 	s.callCore(func(time.Duration) { first = s.txs[1].hops[0].hostID })
@@ -220,38 +220,38 @@
 		{UID: uid, Endpoint: s.discovery.addrByID[first], Zone: "a", State: "terminating"}}})
 	s.gate <- true
 	s.gate <- true
-	s.get(c, "pay")
-	fmt.Println("to the draining one:", strings.Count(strings.Join(s.lines, "\n"), uid+": POST"), "withdrawn:", s.Counters.HopsWithdrawn.Load(), s.lines[len(s.lines)-1])
+	s.logResponse(c, "pay")
+	fmt.Println("to the draining one:", strings.Count(strings.Join(s.log, "\n"), uid+": POST"), "withdrawn:", s.Counters.HopsWithdrawn.Load(), s.log[len(s.log)-1])
 	// Output: to the draining one: 0 withdrawn: 1 pay: 200 "answer to go"
 }
 
-// BenchmarkLeaving shows how long after its client's end a transaction is known to be left that waits for a connection, with another
+// BenchmarkClientLeavesDuringConnect shows how long after its client's end a transaction is known to be left that waits for a connection, with another
 // behind it; of none may anything be sent.
-func BenchmarkLeaving(b *testing.B) {
-	var most time.Duration
+func BenchmarkClientLeavesDuringConnect(b *testing.B) {
+	var longest time.Duration
 	for range b.N {
-		s := playGated(false, "one")
+		s := newGatedGateway(false, "one")
 		c := s.dial()
-		io.WriteString(c, text("pay", "go", "")+text("pay", "second", ""))
+		io.WriteString(c, requestText("pay", "go", "")+requestText("pay", "second", ""))
 		<-s.dials
 		c.Close()
-		at := time.Now()
-		s.untilLeft(1)
-		most = max(most, time.Since(at))
+		closedAt := time.Now()
+		s.waitForClientsLeft(1)
+		longest = max(longest, time.Since(closedAt))
 		s.gate <- true
-		s.until("withdrawn", func() bool { return s.Counters.HopsWithdrawn.Load() == 1 })
+		s.waitFor("withdrawn", func() bool { return s.Counters.HopsWithdrawn.Load() == 1 })
 		if n := s.Counters.HopsWritten.Load(); n > 0 {
 			b.Error("sent:", n)
 		}
 	}
-	b.ReportMetric(float64(most)/1e6, "ms-late-at-most")
+	b.ReportMetric(float64(longest)/1e6, "ms-late-at-most")
 }
 
 // How a watch ends says what is done next. One that falls silent, or is broken off, is had again at once: what it missed counts as told
 // 2 s after its wait, and a pause before that call used them up. One that is refused waits until the module asks.
-func Example_watchEnds() {
-	for _, end := range []string{"silence", "dribbling", "reset", "torn", "refusal"} {
-		s, calls, first := play("one"), make(chan string, 9), make(chan time.Time, 1)
+func Example_watchFailures() {
+	for _, failure := range []string{"silence", "dribbling", "reset", "torn", "refusal"} {
+		s, calls, first := newTestGateway("one"), make(chan string, 9), make(chan time.Time, 1)
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			panic(err)
@@ -273,7 +273,7 @@
 					nc.Close()
 				case n == 1:
 					first <- time.Now()
-					switch end {
+					switch failure {
 					case "reset":
 						nc.(*net.TCPConn).SetLinger(0)
 					case "torn":
@@ -292,7 +292,7 @@
 			}
 		}()
 		s.callCore(func(time.Duration) { s.changeDiscoveryAddr(ln.Addr().String()) })
-		fmt.Println(end, <-calls, <-calls)
+		fmt.Println(failure, <-calls, <-calls)
 		began := <-first
 		fmt.Println(<-calls, "in time:", time.Since(began) < listWatchDuration+2*time.Second, "again at once:", s.Counters.ListCallsRetried.Load(), "for the module:", s.Counters.ListCallsFailed.Load())
 	}
@@ -311,19 +311,19 @@
 
 // A list that is older than what is in hand is not taken: all is asked for. Where that is older too, discovery has begun anew; what was
 // said to drain still does, unless it has started since.
-func Example_listOlder() {
-	s := play("one", "two", "three")
+func Example_staleList() {
+	s := newTestGateway("one", "two", "three")
 	entry := func(uid, state string, boot int64) string {
 		return fmt.Sprintf(`{"uid":%q,"az":"a","endpoint":"127.0.0.1:1","state":%q,"boot_ms":%d}`, uid, state, boot)
 	}
-	s.lists <- `{"rev":9,"targets":[` + entry("one", "terminating", 0) + "," + entry("two", "terminating", 0) + `]}`
-	s.untilRev(9)
+	s.discoveryResponses <- `{"rev":9,"targets":[` + entry("one", "terminating", 0) + "," + entry("two", "terminating", 0) + `]}`
+	s.waitForRevision(9)
 	older := entry("one", "in_service", 0) + "," + entry("two", "in_service", 1_000_000) + "," + entry("three", "in_service", 0)
-	s.lists <- `{"rev":3,"targets":[` + older + `]}`
-	s.until("not taken", func() bool { return s.Counters.ListsStale.Load() == 1 })
-	s.lists <- `{"rev":3,"all":true,"targets":[` + older + `]}`
-	s.untilRev(3)
-	s.print()
+	s.discoveryResponses <- `{"rev":3,"targets":[` + older + `]}`
+	s.waitFor("not taken", func() bool { return s.Counters.ListsStale.Load() == 1 })
+	s.discoveryResponses <- `{"rev":3,"all":true,"targets":[` + older + `]}`
+	s.waitForRevision(3)
+	s.printLog()
 	for _, uid := range []string{"one", "two", "three"} {
 		fmt.Println(uid, "takes what is new:", s.discovery.acceptsNewHops(s.discovery.idByUID[uid]))
 	}
@@ -338,29 +338,29 @@
 
 // A notice that comes where discovery was counts until it is heard where it is, and nothing else that comes there does.
 func Example_drainNoticeAtOldAddress() {
-	s := play("one", "two")
-	s.until("a call", func() bool { return s.Counters.ListCalls.Load() == 1 })
+	s := newTestGateway("one", "two")
+	s.waitFor("a call", func() bool { return s.Counters.ListCalls.Load() == 1 })
 	moved, answer := make(chan bool), make(chan bool)
-	at := s.listen(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	at := s.startServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		moved <- true
 		<-answer
 		io.WriteString(w, `{"rev":1,"all":true,"targets":[]}`)
 	}))
 	s.callCore(func(time.Duration) { s.changeDiscoveryAddr(at) })
 	<-moved // it is asked, and says nothing yet
-	s.lists <- `{"rev":5,"targets":[{"uid":"one","az":"a","state":"terminating"},{"uid":"new","az":"a","state":"in_service"}]}`
-	s.until("goes", func() bool {
+	s.discoveryResponses <- `{"rev":5,"targets":[{"uid":"one","az":"a","state":"terminating"},{"uid":"new","az":"a","state":"in_service"}]}`
+	s.waitFor("goes", func() bool {
 		s.Dispatcher.mu.Lock()
 		defer s.Dispatcher.mu.Unlock()
 		return !s.discovery.acceptsNewHops(s.discovery.idByUID["one"])
 	})
 	for range 3 {
-		s.ask("pay", "go")
+		s.roundTrip("pay", "go")
 	}
-	s.print()
+	s.printLog()
 	fmt.Println("known:", len(s.discovery.addrByID))
 	answer <- true
-	s.untilRev(1)
+	s.waitForRevision(1)
 	fmt.Println("known:", len(s.discovery.addrByID), "lost:", s.Counters.ListCallsFailed.Load())
 	// Output:
 	// discovery: /v1/endpoints?index=4&wait=3000
@@ -376,22 +376,22 @@
 
 // A long message that its host does not take yet, on a connection that was idle, held up whoever began it: the timer with all that was due
 // beside it, or what other gateways tell.
-func Example_longMessageHoldsUpNobody() {
+func Example_longMessageDoesNotBlock() {
 	goOn, host := make(chan bool), logic.HostID(0)
-	s := playScripted(func(nc net.Conn, head *http.Request) {
+	s := newGatewayWithScriptedHost(func(nc net.Conn, head *http.Request) {
 		if head.Method == "POST" {
 			<-goOn
 			io.Copy(io.Discard, head.Body)
 		}
 		io.WriteString(nc, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	})
-	s.ask("read", "go")
+	s.roundTrip("read", "go")
 	s.callCore(func(time.Duration) { host = s.discovery.idByUID["scripted"] })
 	done := make(chan transport.Outcome, 1)
 	s.callCore(func(time.Duration) {
 		s.startExchange(s.discovery.targetOf(host), &transport.Exchange{Deadline: time.Now().Add(5 * time.Second), OnDone: func(how transport.Outcome) { done <- how },
 			BuildMessage: func() net.Buffers {
-				return net.Buffers{[]byte("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 8388608\r\n\r\n"), bytesOf(8 * megabyte)}
+				return net.Buffers{[]byte("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 8388608\r\n\r\n"), testBytes(8 * megabyte)}
 			},
 			ReadResponse: func(r *bufio.Reader) (bool, error) { _, err := http.ReadResponse(r, nil); return true, err }}, true)
 	})
@@ -402,24 +402,24 @@
 
 // What is pushed counts as told from the first moment of a process, and what discovery has at its return at once: the list is called for
 // as the gateway starts, and all the time while it can't be had. Else a second and more was lost, and the grace with it.
-func Example_pushed() {
-	pushed := strings.NewReplacer("subscribe", "automatic", `"askWithin"`, `"drainGrace":300000,"askWithin"`).Replace(settings)
-	s := playBy(pushed, "one")
+func Example_pushedListRetry() {
+	pushed := strings.NewReplacer("subscribe", "automatic", `"askWithin"`, `"drainGrace":300000,"askWithin"`).Replace(testSettings)
+	s := newTestGatewayWith(pushed, "one")
 	began := time.Now()
 	for range 5 { // discovery is down
-		s.lists <- ""
+		s.discoveryResponses <- ""
 	}
-	s.lists <- `{"rev":5,"targets":[{"uid":"one","az":"a","state":"terminating"}]}`
-	s.untilRev(5)
+	s.discoveryResponses <- `{"rev":5,"targets":[{"uid":"one","az":"a","state":"terminating"}]}`
+	s.waitForRevision(5)
 	fmt.Println("lost:", s.Counters.ListCallsFailed.Load(), "in time:", time.Since(began) < 5*300*time.Millisecond)
 	// Output: lost: 5 in time: true
 }
 
 // A 200 that is whole before its message is was made for something else: nothing has run, and no client may have it. What a host finds
 // wrong with a message that it has only begun is an answer to that.
-func Example_answerBeforeMessage() {
+func Example_responseBeforeRequest() {
 	for _, answer := range []string{"200 OK", "200 long", "400 no"} {
-		s := playScripted(func(nc net.Conn, head *http.Request) {
+		s := newGatewayWithScriptedHost(func(nc net.Conn, head *http.Request) {
 			stray := "stray"
 			if answer == "200 long" { // it goes on as it comes
 				stray = strings.Repeat(stray, 14_000)
@@ -429,9 +429,9 @@
 		})
 		s.bodyBudget.Store(0) // no room to hold any
 		c := s.dial()
-		io.WriteString(c, strings.Replace(text("pay", "go", ""), "Length: 2", "Length: 100000", 1)+strings.Repeat("a", 50_000))
-		s.get(c, answer)
-		s.print()
+		io.WriteString(c, strings.Replace(requestText("pay", "go", ""), "Length: 2", "Length: 100000", 1)+strings.Repeat("a", 50_000))
+		s.logResponse(c, answer)
+		s.printLog()
 		fmt.Println("never ran:", s.Counters.HopOutcomes[logic.HopHostFull].Load()+s.Counters.HopOutcomes[logic.HopNoConnection].Load(), "streamed:", s.Counters.ResponsesStreamed.Load(), "committed:", s.Counters.Committed.Load())
 		c.Close()
 	}
@@ -445,23 +445,23 @@
 }
 
 // A gateway that ends sends nothing on for a client that leaves meanwhile, and answers the one that stays.
-func Example_leavesDuringTheEnd() {
-	s := playGated(false, "one")
-	goes, stays := s.dial(), s.dial()
-	io.WriteString(goes, text("pay", "goes", ""))
+func Example_clientLeavesDuringShutdown() {
+	s := newGatedGateway(false, "one")
+	leaving, staying := s.dial(), s.dial()
+	io.WriteString(leaving, requestText("pay", "goes", ""))
 	<-s.dials
-	io.WriteString(stays, text("pay", "stays", ""))
+	io.WriteString(staying, requestText("pay", "stays", ""))
 	<-s.dials
 	ended := make(chan bool)
 	go func() { s.Close(); close(ended) }()
-	s.until("the end", s.closing.Load)
-	goes.Close()
-	s.untilLeft(1)
+	s.waitFor("the end", s.closing.Load)
+	leaving.Close()
+	s.waitForClientsLeft(1)
 	s.gate <- true
 	s.gate <- true
-	s.get(stays, "stays")
+	s.logResponse(staying, "stays")
 	<-ended
-	s.print()
+	s.printLog()
 	fmt.Println("written:", s.Counters.HopsWritten.Load(), "open:", s.Counters.OpenTransactions.Load())
 	// Output:
 	// one: POST /pay?stays "hi"
@@ -470,23 +470,23 @@
 }
 
 // Settings that make no sense have an outcome: each transaction gets one answer, none runs twice, and nothing stops.
-func Example_settingsOfZero() {
+func Example_zeroOrNegativeSettings() {
 	for _, key := range []string{"serviceGoal", "hardLimit", "window", "mostHops", "revenue", "warmUp", "tipAfter", "fallMultiple", "coldFrom",
 		"connectTimeout", "connIdle", "maxRetryAfter"} {
 		for _, value := range []string{"0", "-5"} {
-			odd := regexp.MustCompile(`"`+key+`":[0-9.]+`).ReplaceAllString(settings, `"`+key+`":`+value)
-			s := playBy(odd, "one", "two")
+			changed := regexp.MustCompile(`"`+key+`":[0-9.]+`).ReplaceAllString(testSettings, `"`+key+`":`+value)
+			s := newTestGatewayWith(changed, "one", "two")
 			for _, profile := range []string{"read", "order", "pay"} {
-				s.ask(profile, "go")
-				s.ask(profile, "error")
+				s.roundTrip(profile, "go")
+				s.roundTrip(profile, "error")
 			}
-			s.until("none open", func() bool { return s.Counters.OpenTransactions.Load() == 0 })
-			answers, said := 0, fmt.Sprint(s.lines)
+			s.waitFor("none open", func() bool { return s.Counters.OpenTransactions.Load() == 0 })
+			responses, log := 0, fmt.Sprint(s.log)
 			for _, status := range []string{": 200", ": 503", ": 504"} {
-				answers += strings.Count(said, status)
+				responses += strings.Count(log, status)
 			}
-			if answers != 6 || strings.Count(said, "POST /pay?error") > 1 || s.never() {
-				fmt.Println(key, value, said)
+			if responses != 6 || strings.Count(log, "POST /pay?error") > 1 || s.waitTimedOut() {
+				fmt.Println(key, value, log)
 			}
 		}
 	}
@@ -494,9 +494,9 @@
 }
 
 // A connection on which a hop was out as its host went from the list fell idle after that, and stood until it had been idle for long.
-func Example_goneWhileOut() {
+func Example_hostGoneWithHopInFlight() {
 	goOn, closed := make(chan bool), make(chan bool)
-	s := playScripted(func(nc net.Conn, head *http.Request) {
+	s := newGatewayWithScriptedHost(func(nc net.Conn, head *http.Request) {
 		s := "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 		<-goOn
 		io.WriteString(nc, s)
@@ -505,16 +505,16 @@
 	})
 	c := s.dial()
 	defer c.Close()
-	io.WriteString(c, text("pay", "go", ""))
-	s.until("out", func() bool { return s.Counters.HopsWritten.Load() == 1 })
+	io.WriteString(c, requestText("pay", "go", ""))
+	s.waitFor("out", func() bool { return s.Counters.HopsWritten.Load() == 1 })
 	s.applyList(s.discovery.conn, logic.ListChanges, &protocol.HostList{Revision: 6, Hosts: []protocol.HostEntry{{UID: "scripted", Zone: "a", State: "terminated"}}})
 	goOn <- true
-	s.get(c, "pay")
+	s.logResponse(c, "pay")
 	select {
 	case <-closed:
 	case <-time.After(time.Second): // half of what hosts keep idle is two
-		s.say("kept")
+		s.logf("kept")
 	}
-	s.print()
+	s.printLog()
 	// Output: pay: 200 ""
 }
--- a/internal/routing/size_test.go
+++ b/internal/routing/size_test.go
@@ -22,22 +22,22 @@
 )
 
 const (
-	// largeFleet is how many gateways, and how many hosts, no part of the program may fall short of.
-	largeFleet = 1024
-	// largeHeap is what a gateway among so many may hold live for them: a sixteenth of a small gateway's 64 MB.
-	largeHeap = 4 << 20
-	// largeGoroutines is how many it may have that are not there for clients or hosts' connections.
-	largeGoroutines = 16
+	// largeFleetSize is how many gateways, and how many hosts, no part of the program may fall short of.
+	largeFleetSize = 1024
+	// maxLargeFleetHeapBytes is what a gateway among so many may hold live for them: a sixteenth of a small gateway's 64 MB.
+	maxLargeFleetHeapBytes = 4 << 20
+	// maxLargeFleetGoroutines is how many it may have that are not there for clients or hosts' connections.
+	maxLargeFleetGoroutines = 16
 )
 
-// largeSettings is those of a gateway among so many, which draws for the zone that all hosts are of.
-func largeSettings() string {
-	return strings.Replace(settings, `"balancers":2`, fmt.Sprintf(`"balancers":%d`, largeFleet), 1)
+// largeFleetSettings is those of a gateway among so many, which draws for the zone that all hosts are of.
+func largeFleetSettings() string {
+	return strings.Replace(testSettings, `"balancers":2`, fmt.Sprintf(`"balancers":%d`, largeFleetSize), 1)
 }
 
-// largeHosts is a list of so many hosts. Each has an address of its own at one port of this machine.
-func largeHosts(port int, state string) []protocol.HostEntry {
-	entries := make([]protocol.HostEntry, largeFleet)
+// largeFleetHosts is a list of so many hosts. Each has an address of its own at one port of this machine.
+func largeFleetHosts(port int, state string) []protocol.HostEntry {
+	entries := make([]protocol.HostEntry, largeFleetSize)
 	for i := range entries {
 		entries[i] = protocol.HostEntry{UID: fmt.Sprintf("host-%08x", i), Endpoint: fmt.Sprintf("127.1.%d.%d:%d", i>>8, i&255, port),
 			Zone: "a", Model: "m2", Cell: i, State: state, Size: 1}
@@ -45,34 +45,34 @@
 	return entries
 }
 
-// cost is what has been added to this process's live heap, and to its goroutines, since it was begun.
-type cost struct {
+// resourceUsage is what has been added to this process's live heap, and to its goroutines, since it was begun.
+type resourceUsage struct {
 	heap       uint64
 	goroutines int
 }
 
-func beginCost() cost {
+func measureUsage() resourceUsage {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
-	return cost{m.HeapAlloc, runtime.NumGoroutine()}
+	return resourceUsage{m.HeapAlloc, runtime.NumGoroutine()}
 }
 
-// check reports what is over the bounds, beside so many goroutines of the test's own.
-func (c cost) check(t *testing.T, own int) {
+// checkGrowth reports what is over the bounds, beside so many goroutines of the test's own.
+func (c resourceUsage) checkGrowth(t *testing.T, testGoroutines int) {
 	t.Helper()
-	now := beginCost()
-	t.Logf("live heap %d KB more, goroutines %d more", (int64(now.heap)-int64(c.heap))>>10, now.goroutines-c.goroutines-own)
-	if now.heap > c.heap+largeHeap {
+	now := measureUsage()
+	t.Logf("live heap %d KB more, goroutines %d more", (int64(now.heap)-int64(c.heap))>>10, now.goroutines-c.goroutines-testGoroutines)
+	if now.heap > c.heap+maxLargeFleetHeapBytes {
 		t.Errorf("live heap grew by %d KB", (now.heap-c.heap)>>10)
 	}
-	if n := now.goroutines - c.goroutines - own; n > largeGoroutines {
+	if n := now.goroutines - c.goroutines - testGoroutines; n > maxLargeFleetGoroutines {
 		t.Errorf("%d goroutines more", n)
 	}
 }
 
-// openDesk opens a gateway with so many sockets; it has no list yet.
-func openDesk(t *testing.T, settings string, sockets int) *Dispatcher {
+// newTestDispatcher opens a gateway with so many sockets; it has no list yet.
+func newTestDispatcher(t *testing.T, settings string, sockets int) *Dispatcher {
 	t.Helper()
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
 	d, err := NewDispatcher([]byte(settings))
@@ -88,23 +88,23 @@
 	return d
 }
 
-// discoveryOf answers each call for the list with the next text that it is given.
-func discoveryOf(t *testing.T) (addr string, lists chan<- []byte) {
-	texts := make(chan []byte)
+// startDiscovery answers each call for the list with the next text that it is given.
+func startDiscovery(t *testing.T) (addr string, lists chan<- []byte) {
+	responses := make(chan []byte)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
-		case text := <-texts:
+		case text := <-responses:
 			w.Write(text)
 		case <-r.Context().Done():
 		}
 	}))
 	t.Cleanup(s.CloseClientConnections)
-	return s.Listener.Addr().String(), texts
+	return s.Listener.Addr().String(), responses
 }
 
-func marshal(t *testing.T, what any) []byte {
+func marshalJSON(t *testing.T, value any) []byte {
 	t.Helper()
-	text, err := json.Marshal(what)
+	text, err := json.Marshal(value)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -112,9 +112,9 @@
 }
 
 // eventually waits for what is to come about within a time.
-func eventually(t *testing.T, within time.Duration, what string, so func() bool) {
+func eventually(t *testing.T, within time.Duration, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(within); !so(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(within); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("not within %v: %s", within, what)
 		}
@@ -124,36 +124,36 @@
 // A thousand hosts come as one list, then drain one by one, a change a call, and are all back with one call. Each is taken in by a gateway
 // among a thousand, and the whole of it costs little memory and no goroutine for each.
 func TestListLargeFleet(t *testing.T) {
-	d := openDesk(t, largeSettings(), 400)
-	addr, lists := discoveryOf(t)
-	before := beginCost()
+	d := newTestDispatcher(t, largeFleetSettings(), 400)
+	addr, lists := startDiscovery(t)
+	before := measureUsage()
 	d.Start(7, addr, nil)
 	known := func() (hosts, draining int, rev int64) {
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		return len(d.discovery.addrByID), len(d.discovery.drainingBootMS), d.discovery.revision
 	}
-	lists <- marshal(t, protocol.HostList{Revision: 1, Full: true, Hosts: largeHosts(5000, "in_service")})
-	eventually(t, 2*time.Second, "the whole list", func() bool { hosts, _, _ := known(); return hosts == largeFleet })
-	before.check(t, 0)
+	lists <- marshalJSON(t, protocol.HostList{Revision: 1, Full: true, Hosts: largeFleetHosts(5000, "in_service")})
+	eventually(t, 2*time.Second, "the whole list", func() bool { hosts, _, _ := known(); return hosts == largeFleetSize })
+	before.checkGrowth(t, 0)
 
 	began := time.Now()
-	for i, e := range largeHosts(5000, protocol.StateTerminating) {
-		lists <- marshal(t, protocol.HostList{Revision: int64(2 + i), Hosts: []protocol.HostEntry{e}})
+	for i, e := range largeFleetHosts(5000, protocol.StateTerminating) {
+		lists <- marshalJSON(t, protocol.HostList{Revision: int64(2 + i), Hosts: []protocol.HostEntry{e}})
 	}
-	eventually(t, time.Second, "all drain", func() bool { _, draining, _ := known(); return draining == largeFleet })
+	eventually(t, time.Second, "all drain", func() bool { _, draining, _ := known(); return draining == largeFleetSize })
 	took := time.Since(began)
-	t.Logf("a change took %v", took/largeFleet)
+	t.Logf("a change took %v", took/largeFleetSize)
 	if took > 10*time.Second {
-		t.Errorf("%v for %d changes", took, largeFleet)
+		t.Errorf("%v for %d changes", took, largeFleetSize)
 	}
-	lists <- marshal(t, protocol.HostList{Revision: 2 + largeFleet, Hosts: largeHosts(5000, "in_service")})
-	eventually(t, time.Second, "all are back", func() bool { hosts, draining, _ := known(); return hosts == largeFleet && draining == 0 })
+	lists <- marshalJSON(t, protocol.HostList{Revision: 2 + largeFleetSize, Hosts: largeFleetHosts(5000, "in_service")})
+	eventually(t, time.Second, "all are back", func() bool { hosts, draining, _ := known(); return hosts == largeFleetSize && draining == 0 })
 	var shown struct{ Discovered, Ejected int }
-	if err := json.Unmarshal(d.MetricsJSON(), &shown); err != nil || shown.Discovered != largeFleet || shown.Ejected != 0 {
+	if err := json.Unmarshal(d.MetricsJSON(), &shown); err != nil || shown.Discovered != largeFleetSize || shown.Ejected != 0 {
 		t.Errorf("figures: %+v, %v", shown, err)
 	}
-	lists <- marshal(t, protocol.HostList{Revision: 3 + largeFleet, Full: true})
+	lists <- marshalJSON(t, protocol.HostList{Revision: 3 + largeFleetSize, Full: true})
 	eventually(t, time.Second, "all are gone", func() bool { hosts, _, _ := known(); return hosts == 0 })
 }
 
@@ -161,7 +161,7 @@
 type peerSockets []*net.UDPConn
 
 func openPeers(t *testing.T) (sockets peerSockets, addrs []string) {
-	for range largeFleet {
+	for range largeFleetSize {
 		c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if err != nil {
 			t.Fatal(err)
@@ -172,8 +172,8 @@
 	return sockets, addrs
 }
 
-// join joins a gateway to the others until the test ends: their ports may be another test's then.
-func join(t *testing.T, d *Dispatcher, own string, addrs []string) {
+// joinPeers joins a gateway to the others until the test ends: their ports may be another test's then.
+func joinPeers(t *testing.T, d *Dispatcher, own string, addrs []string) {
 	t.Helper()
 	if err := d.JoinPeers(own, addrs, ""); err != nil {
 		t.Fatal(err)
@@ -182,7 +182,7 @@
 }
 
 // receive counts what each gets within a time, and gives the messages that it got.
-func (p peerSockets) receive(within time.Duration, wanted int) (got [][][]byte) {
+func (p peerSockets) receive(within time.Duration, maxMessages int) (got [][][]byte) {
 	got = make([][][]byte, len(p))
 	var all sync.WaitGroup
 	for i, c := range p {
@@ -190,7 +190,7 @@
 		go func() {
 			defer all.Done()
 			c.SetReadDeadline(time.Now().Add(within))
-			for msg := make([]byte, 512); len(got[i]) < wanted; {
+			for msg := make([]byte, 512); len(got[i]) < maxMessages; {
 				n, err := c.Read(msg)
 				if err != nil {
 					return
@@ -205,24 +205,24 @@
 
 // A thousand gateways ask one that draws for a thousand hosts, and tell it what they have out, while it is busy with something else: all of
 // it arrives, each ask is answered with a host, and it costs little memory and no goroutine for each.
-func TestToldLargeFleet(t *testing.T) {
-	const toldEach = 25
-	d := openDesk(t, largeSettings(), 400)
+func TestPeerMessagesReceivedLargeFleet(t *testing.T) {
+	const entriesPerDatagram = 25
+	d := newTestDispatcher(t, largeFleetSettings(), 400)
 	peers, addrs := openPeers(t)
 	own := addrs[0]
 	peers[0].Close()
 	peers = peers[1:]
-	before := beginCost()
-	join(t, d, own, addrs)
-	addr, _ := discoveryOf(t)
-	d.Start(7, addr, &protocol.HostList{Revision: 1, Full: true, Hosts: largeHosts(5000, "in_service")})
+	before := measureUsage()
+	joinPeers(t, d, own, addrs)
+	addr, _ := startDiscovery(t)
+	d.Start(7, addr, &protocol.HostList{Revision: 1, Full: true, Hosts: largeFleetHosts(5000, "in_service")})
 
 	at := netip.MustParseAddrPort(own)
 	d.mu.Lock()
 	for i, c := range peers {
 		var out []logic.PeerEntry // as many as a datagram holds: a hop that is out at one host, and others with none any more
-		for k := range toldEach {
-			id, _ := d.discovery.hostIDFor(fmt.Sprintf("host-%08x", (i+k)%largeFleet))
+		for k := range entriesPerDatagram {
+			id, _ := d.discovery.hostIDFor(fmt.Sprintf("host-%08x", (i+k)%largeFleetSize))
 			out = append(out, logic.PeerEntry{Kind: logic.EntryInFlight, Host: id, InFlight: 1 / (1 + k)})
 		}
 		for msg := range d.core.EncodePeerMessages(out) {
@@ -249,27 +249,27 @@
 	if told := d.Counters.PeerMessagesReceived.Load(); told != 2*int64(len(peers)) || d.Counters.PeerMessagesInvalid.Load() != 0 {
 		t.Errorf("%d datagrams taken, %d dropped", told, d.Counters.PeerMessagesInvalid.Load())
 	}
-	if len(answered) < largeFleet/4 {
+	if len(answered) < largeFleetSize/4 {
 		t.Errorf("only %d hosts are drawn", len(answered))
 	}
-	before.check(t, 0)
+	before.checkGrowth(t, 0)
 }
 
 // What a gateway tells of a thousand hosts reaches a thousand others, each with the host's number and its hops.
-func TestTellLargeFleet(t *testing.T) {
-	d := openDesk(t, largeSettings(), 400)
+func TestPeerMessagesSentLargeFleet(t *testing.T) {
+	d := newTestDispatcher(t, largeFleetSettings(), 400)
 	peers, addrs := openPeers(t)
 	own := addrs[0]
 	peers[0].Close()
-	join(t, d, own, addrs)
-	addr, _ := discoveryOf(t)
+	joinPeers(t, d, own, addrs)
+	addr, _ := startDiscovery(t)
 	d.Start(7, addr, nil)
-	var held []logic.PeerEntry
-	for i := range largeFleet {
-		held = append(held, logic.PeerEntry{Kind: logic.EntryInFlight, Host: logic.HostID(1 + i), InFlight: 1 + i%7})
+	var entries []logic.PeerEntry
+	for i := range largeFleetSize {
+		entries = append(entries, logic.PeerEntry{Kind: logic.EntryInFlight, Host: logic.HostID(1 + i), InFlight: 1 + i%7})
 	}
-	messages := len(slices.Collect(d.core.EncodePeerMessages(held)))
-	go d.callCore(func(time.Duration) { d.SendPeerMessage(-1, held) })
+	messages := len(slices.Collect(d.core.EncodePeerMessages(entries)))
+	go d.callCore(func(time.Duration) { d.SendPeerMessage(-1, entries) })
 	for i, got := range peers[1:].receive(10*time.Second, messages) {
 		var read []logic.PeerEntry
 		for _, msg := range got {
@@ -279,58 +279,58 @@
 			}
 			read = append(read, part...)
 		}
-		if !slices.Equal(read, held) {
-			t.Fatalf("gateway %d has %d datagrams of %d, %d hosts of %d", i+1, len(got), messages, len(read), len(held))
+		if !slices.Equal(read, entries) {
+			t.Fatalf("gateway %d has %d datagrams of %d, %d hosts of %d", i+1, len(got), messages, len(read), len(entries))
 		}
 	}
 	if n := d.Counters.PeerMessagesUnsent.Load(); n != 0 {
 		t.Errorf("%d datagrams not sent", n)
 	}
-	d.callCore(func(time.Duration) { d.SendPeerMessage(largeFleet-1, held[:1]) })
-	if got := peers[largeFleet-1:].receive(time.Second, 1); len(got[0]) != 1 {
+	d.callCore(func(time.Duration) { d.SendPeerMessage(largeFleetSize-1, entries[:1]) })
+	if got := peers[largeFleetSize-1:].receive(time.Second, 1); len(got[0]) != 1 {
 		t.Error("the last gateway is not told")
 	}
 }
 
 // A process hands all that it has learnt of a thousand hosts to the next one, in far less than the time for which that waits.
-func TestLearntLargeFleet(t *testing.T) {
+func TestLearnedStateLargeFleet(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "heir")
 	known := func() *protocol.HostList {
-		return &protocol.HostList{Revision: 1, Full: true, Hosts: largeHosts(5000, "in_service")}
+		return &protocol.HostList{Revision: 1, Full: true, Hosts: largeFleetHosts(5000, "in_service")}
 	}
-	silent, _ := discoveryOf(t)
-	before := openDesk(t, largeSettings(), 400)
-	before.Start(7, silent, known())
-	before.callCore(func(now time.Duration) {
-		what := before.core.ExportLearned(now)
+	silentDiscovery, _ := startDiscovery(t)
+	predecessor := newTestDispatcher(t, largeFleetSettings(), 400)
+	predecessor.Start(7, silentDiscovery, known())
+	predecessor.callCore(func(now time.Duration) {
+		what := predecessor.core.ExportLearned(now)
 		for i := range what.Hosts {
 			h := &what.Hosts[i]
-			h.Weight, h.Pace, h.Latency = 0.5+float64(i)/largeFleet/3, logic.SmoothedMean{Value: 1.0 / 3, N: 7}, logic.SmoothedMean{Value: 1e9 / 3, N: 1e4 / 3}
+			h.Weight, h.Pace, h.Latency = 0.5+float64(i)/largeFleetSize/3, logic.SmoothedMean{Value: 1.0 / 3, N: 7}, logic.SmoothedMean{Value: 1e9 / 3, N: 1e4 / 3}
 			h.Share, h.Open, h.Cool = 1.0/3, 4*time.Second, 5*time.Second
 		}
-		before.core.ImportLearned(now, what, 0)
+		predecessor.core.ImportLearned(now, what, 0)
 	})
-	if err := before.ListenForHandover(path); err != nil {
+	if err := predecessor.ListenForHandover(path); err != nil {
 		t.Fatal(err)
 	}
 	began := time.Now()
-	after := openDesk(t, largeSettings(), 400)
-	if err := after.ListenForHandover(path); err != nil {
+	successor := newTestDispatcher(t, largeFleetSettings(), 400)
+	if err := successor.ListenForHandover(path); err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%d bytes handed over within %v", len(before.encodeLearnedState()), time.Since(began))
-	addr, lists := discoveryOf(t)
-	after.Start(7, addr, nil)
-	lists <- marshal(t, known())
-	eventually(t, 2*time.Second, "the list", func() bool { after.mu.Lock(); defer after.mu.Unlock(); return after.discovery.hasList })
-	var was, is logic.LearnedState
-	before.callCore(func(now time.Duration) { was = before.core.ExportLearned(now) })
-	after.callCore(func(now time.Duration) { is = after.core.ExportLearned(now) })
-	if len(is.Hosts) != largeFleet || len(was.Hosts) != largeFleet {
-		t.Fatalf("%d hosts of %d", len(is.Hosts), len(was.Hosts))
+	t.Logf("%d bytes handed over within %v", len(predecessor.encodeLearnedState()), time.Since(began))
+	addr, lists := startDiscovery(t)
+	successor.Start(7, addr, nil)
+	lists <- marshalJSON(t, known())
+	eventually(t, 2*time.Second, "the list", func() bool { successor.mu.Lock(); defer successor.mu.Unlock(); return successor.discovery.hasList })
+	var stateBefore, stateAfter logic.LearnedState
+	predecessor.callCore(func(now time.Duration) { stateBefore = predecessor.core.ExportLearned(now) })
+	successor.callCore(func(now time.Duration) { stateAfter = successor.core.ExportLearned(now) })
+	if len(stateAfter.Hosts) != largeFleetSize || len(stateBefore.Hosts) != largeFleetSize {
+		t.Fatalf("%d hosts of %d", len(stateAfter.Hosts), len(stateBefore.Hosts))
 	}
-	for i := range is.Hosts {
-		a, b := was.Hosts[i], is.Hosts[i]
+	for i := range stateAfter.Hosts {
+		a, b := stateBefore.Hosts[i], stateAfter.Hosts[i]
 		if a.ID != b.ID || a.Weight != b.Weight || a.Pace != b.Pace || a.Latency != b.Latency || a.Share != b.Share || b.Open <= 0 {
 			t.Fatalf("host %d: %+v was learnt, %+v is known", i, a, b)
 		}
--- a/internal/routing/stream_test.go
+++ b/internal/routing/stream_test.go
@@ -20,8 +20,8 @@
 
 const megabyte = 1 << 20
 
-// scripted is a host that does with each connection what the function says, once it has read a head.
-func (s *stage) scripted(serve func(nc net.Conn, head *http.Request)) protocol.HostEntry {
+// startScriptedHost is a host that does with each connection what the function says, once it has read a head.
+func (g *testGateway) startScriptedHost(serve func(nc net.Conn, head *http.Request)) protocol.HostEntry {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		panic(err)
@@ -40,23 +40,23 @@
 	return protocol.HostEntry{UID: "scripted", Endpoint: ln.Addr().String(), Zone: "a", State: "in_service"}
 }
 
-// playScripted is a stage with one such host.
-func playScripted(serve func(nc net.Conn, head *http.Request)) *stage {
-	s := play()
-	s.applyList(s.discovery.conn, 1, &protocol.HostList{Revision: 5, Full: true, Hosts: []protocol.HostEntry{s.scripted(serve)}})
-	return s
+// newGatewayWithScriptedHost is a stage with one such host.
+func newGatewayWithScriptedHost(serve func(nc net.Conn, head *http.Request)) *testGateway {
+	g := newTestGateway()
+	g.applyList(g.discovery.conn, 1, &protocol.HostList{Revision: 5, Full: true, Hosts: []protocol.HostEntry{g.startScriptedHost(serve)}})
+	return g
 }
 
-func bytesOf(n int) []byte { return bytes.Repeat([]byte("0123456789abcdef"), n/16+1)[:n] }
+func testBytes(n int) []byte { return bytes.Repeat([]byte("0123456789abcdef"), n/16+1)[:n] }
 
 // An answer over the usual size goes on as it comes, in each form that hosts have for its end, also to a client that reads slowly,
 // and the first bytes do not wait for the last. One that breaks off does so for its client too; one that is too long, or may not pass,
 // may have run. The module hears no more of it once it has begun.
 func ExampleDispatcher_streamResponse() {
 	goOn := make(chan bool)
-	s := playScripted(func(nc net.Conn, head *http.Request) {
-		long := bytesOf(3 * megabyte)
-		switch do := head.URL.RawQuery; do {
+	s := newGatewayWithScriptedHost(func(nc net.Conn, head *http.Request) {
+		long := testBytes(3 * megabyte)
+		switch action := head.URL.RawQuery; action {
 		case "sized":
 			fmt.Fprintf(nc, "HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(long), long[:70_000])
 			<-goOn
@@ -66,7 +66,7 @@
 			for rest := long; len(rest) > 0; rest = rest[min(len(rest), 99_999):] {
 				fmt.Fprintf(nc, "%x;x=y\r\n%s\r\n", min(len(rest), 99_999), rest[:min(len(rest), 99_999)])
 			}
-			if do == "torn-chunks" {
+			if action == "torn-chunks" {
 				nc.Close()
 			}
 			io.WriteString(nc, "0\r\nTrailer: t\r\n\r\n")
@@ -86,26 +86,26 @@
 			io.WriteString(nc, "HTTP/1.1 200 OK\r\nContent-Length: 33554433\r\n\r\n")
 		}
 	})
-	get := func(do, version string, slowly bool) {
+	get := func(action, version string, slowly bool) {
 		c := s.dial()
 		defer c.Close()
 		method := "GET"
-		if do == "head" {
+		if action == "head" {
 			method = "HEAD"
 		}
-		call := strings.NewReplacer("HTTP/1.1", version, "GET", method).Replace(text("read", do, ""))
+		call := strings.NewReplacer("HTTP/1.1", version, "GET", method).Replace(requestText("read", action, ""))
 		io.WriteString(c, call)
 		c.SetReadDeadline(time.Now().Add(5 * time.Second))
-		of, _ := http.NewRequest(method, "/", nil)
-		r, err := http.ReadResponse(c.r, of)
+		request, _ := http.NewRequest(method, "/", nil)
+		r, err := http.ReadResponse(c.reader, request)
 		if err != nil {
-			fmt.Println(do, version, "closed")
+			fmt.Println(action, version, "closed")
 			return
 		}
 		n, sum, piece := 0, crc32.NewIEEE(), make([]byte, 64<<10)
 		for err = nil; err == nil; {
 			var k int
-			if k, err = r.Body.Read(piece); k > 0 && n == 0 && do == "sized" {
+			if k, err = r.Body.Read(piece); k > 0 && n == 0 && action == "sized" {
 				goOn <- true // the rest comes only once the first bytes are here
 			}
 			sum.Write(piece[:k])
@@ -114,10 +114,10 @@
 			}
 		}
 		if err != io.EOF {
-			fmt.Println(do, version, r.StatusCode, "broken off:", n > 0)
+			fmt.Println(action, version, r.StatusCode, "broken off:", n > 0)
 			return
 		}
-		fmt.Println(do, version, r.StatusCode, r.ContentLength, r.TransferEncoding, n, sum.Sum32() == crc32.ChecksumIEEE(bytesOf(3*megabyte)))
+		fmt.Println(action, version, r.StatusCode, r.ContentLength, r.TransferEncoding, n, sum.Sum32() == crc32.ChecksumIEEE(testBytes(3*megabyte)))
 	}
 	get("sized", "HTTP/1.1", true)
 	get("sized", "HTTP/1.0", false)
@@ -152,8 +152,8 @@
 // answers before that is heard, and both connections close; a client that breaks off, or sends too slowly or what makes no sense, has
 // not had it run.
 func ExampleDispatcher_forwardBody() {
-	ends := make(chan string, 9)
-	s := playScripted(func(nc net.Conn, head *http.Request) {
+	hostErrors := make(chan string, 9)
+	s := newGatewayWithScriptedHost(func(nc net.Conn, head *http.Request) {
 		if head.URL.RawQuery == "early" {
 			io.WriteString(nc, "HTTP/1.1 400 no\r\nContent-Length: 2\r\n\r\nno")
 			io.Copy(io.Discard, nc)
@@ -161,7 +161,7 @@
 		}
 		n, err := io.Copy(io.Discard, head.Body)
 		if err != nil {
-			ends <- fmt.Sprint("host: ", n > 0, " torn ", errors.Is(err, io.ErrUnexpectedEOF))
+			hostErrors <- fmt.Sprint("host: ", n > 0, " torn ", errors.Is(err, io.ErrUnexpectedEOF))
 			nc.Close()
 			return
 		}
@@ -169,44 +169,44 @@
 		fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(answer), answer)
 	})
 	s.bodyBudget.Store(0) // no room to hold any
-	begin := func(do, framing string) *line {
+	begin := func(action, framing string) *clientConn {
 		c := s.dial()
-		fmt.Fprintf(c, "POST /pay?%s HTTP/1.1\r\nX-Trace-Id: f-%s\r\nX-Qos: pay\r\nX-Expires-In-Ms: 900\r\n%s\r\n\r\n", do, do, framing)
+		fmt.Fprintf(c, "POST /pay?%s HTTP/1.1\r\nX-Trace-Id: f-%s\r\nX-Qos: pay\r\nX-Expires-In-Ms: 900\r\n%s\r\n\r\n", action, action, framing)
 		return c
 	}
-	long := bytesOf(3 * megabyte)
+	long := testBytes(3 * megabyte)
 	c := begin("sized", "Content-Length: 3145728")
 	for piece := long; len(piece) > 0; piece = piece[1<<19:] { // it takes longer than its budget, and that does not count
 		time.Sleep(200 * time.Millisecond)
 		c.Write(piece[:1<<19])
 	}
-	s.get(c, "sized")
+	s.logResponse(c, "sized")
 	c = begin("go", "Transfer-Encoding: chunked")
 	for piece := long; len(piece) > 0; piece = piece[1<<19:] {
 		fmt.Fprintf(c, "80000\r\n%s\r\n", piece[:1<<19])
 	}
 	io.WriteString(c, "0\r\n\r\n")
-	s.get(c, "chunked")
-	io.WriteString(c, text("pay", "small", ""))
-	s.get(c, "next on it")
+	s.logResponse(c, "chunked")
+	io.WriteString(c, requestText("pay", "small", ""))
+	s.logResponse(c, "next on it")
 	c = begin("early", "Content-Length: 33554432")
 	c.Write(long)
-	s.get(c, "early")
+	s.logResponse(c, "early")
 	c = begin("close", "Content-Length: 3145728")
 	c.Write(long[:megabyte])
 	c.Close()
-	s.say("%s", <-ends)
+	s.logf("%s", <-hostErrors)
 	c = begin("nonsense", "Transfer-Encoding: chunked")
 	fmt.Fprintf(c, "80000\r\n%s\r\nx\r\n", long[:1<<19])
-	s.get(c, "nonsense")
-	s.say("%s", <-ends)
+	s.logResponse(c, "nonsense")
+	s.logf("%s", <-hostErrors)
 	c = begin("stop", "Content-Length: 3145728")
 	c.Write(long[:megabyte/2])
 	c.SetReadDeadline(time.Now().Add(20 * time.Second))
-	c.r.Peek(1)
-	s.get(c, "stops")
-	s.say("%s", <-ends)
-	s.print()
+	c.reader.Peek(1)
+	s.logResponse(c, "stops")
+	s.logf("%s", <-hostErrors)
+	s.printLog()
 	fmt.Println("written whole:", s.Counters.HopsWritten.Load(), "open:", s.Counters.OpenTransactions.Load())
 	// Output:
 	// sized: 200 "3145728 []"
@@ -223,9 +223,9 @@
 
 // Of a body that can't be sent again only a hop that never was up may be followed by another; one that broke within it is rolled
 // back at once.
-func ExampleDispatcher_forwardBody_again() {
-	s := play()
-	breaks := s.scripted(func(nc net.Conn, head *http.Request) {
+func ExampleDispatcher_forwardBody_retry() {
+	s := newTestGateway()
+	breaks := s.startScriptedHost(func(nc net.Conn, head *http.Request) {
 		io.CopyN(io.Discard, head.Body, 200_000)
 		nc.(*net.TCPConn).SetLinger(0)
 		nc.Close()
@@ -236,10 +236,10 @@
 	for i := range 3 {
 		c := s.dial()
 		fmt.Fprintf(c, "POST /pay?x HTTP/1.1\r\nX-Trace-Id: %d\r\nX-Qos: pay\r\nX-Expires-In-Ms: 900\r\nContent-Length: 3145728\r\n\r\n", i)
-		go c.Write(bytesOf(3 * megabyte))
-		s.get(c, "breaks")
+		go c.Write(testBytes(3 * megabyte))
+		s.logResponse(c, "breaks")
 	}
-	s.print()
+	s.printLog()
 	fmt.Println("written whole:", s.Counters.HopsWritten.Load(), "never up:", s.Counters.HopOutcomes[4].Load() > 3)
 	// Output:
 	// breaks: 503 "rolled back", the last
@@ -252,7 +252,7 @@
 // would be cut off as its transaction's time is up while its host still gives it. Pauses fall where they hurt most: within a chunk's
 // length, before its end, within the end of all.
 func ExampleDispatcher_streamResponse_slowly() {
-	s := playScripted(func(nc net.Conn, head *http.Request) {
+	s := newGatewayWithScriptedHost(func(nc net.Conn, head *http.Request) {
 		io.WriteString(nc, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 		for _, piece := range []string{"", "1", "0\r\n0123456789", "abcdef", "\r", "\n5\r", "\nvwxyz\r\n0", "\r\nTrailer: t", "\r\n\r", "\n"} {
 			time.Sleep(120 * time.Millisecond)
@@ -262,24 +262,24 @@
 	c := s.dial()
 	defer c.Close()
 	began := time.Now()
-	io.WriteString(c, text("read", "slowly", ""))
-	answer, err := http.ReadResponse(c.r, nil)
+	io.WriteString(c, requestText("read", "slowly", ""))
+	answer, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		panic(err)
 	}
 	first := time.Since(began)
 	body, err := io.ReadAll(answer.Body)
 	fmt.Println(answer.StatusCode, string(body), err, "head at once:", first < 400*time.Millisecond, "longer than its time:", time.Since(began) > time.Second)
-	io.WriteString(c, text("read", "slowly", "again"))
-	answer, err = http.ReadResponse(c.r, nil)
+	io.WriteString(c, requestText("read", "slowly", "again"))
+	answer, err = http.ReadResponse(c.reader, nil)
 	fmt.Println(answer != nil, err)
 	// Output:
 	// 200 0123456789abcdefvwxyz <nil> head at once: true longer than its time: true
 	// true <nil>
 }
 
-// held is how many bytes a host's socket holds that have not gone over to the other machine.
-func held(nc net.Conn) (n int32) {
+// unsentBytes is how many bytes a host's socket holds that have not gone over to the other machine.
+func unsentBytes(nc net.Conn) (n int32) {
 	raw, err := nc.(*net.TCPConn).SyscallConn()
 	if err == nil {
 		err = raw.Control(func(fd uintptr) {
@@ -295,46 +295,46 @@
 // A host that drains goes as soon as it has written all, and what its socket holds goes with it: a client that takes nothing
 // meanwhile had lost the end, or all that the host gave before it broke off. The host goes on once it is told that it drains, and
 // resets its connection once its socket holds nothing.
-func ExampleDispatcher_streamResponse_fromWhatDrains() {
+func ExampleDispatcher_streamResponse_drainingHost() {
 	// What a machine takes in for a program is bounded by it. The whole is far over what comes along without being asked for, if it can be.
-	most, all := 0, 3*megabyte
+	maxReceiveBuffer, size := 0, 3*megabyte
 	if text, err := os.ReadFile("/proc/sys/net/core/rmem_max"); err == nil {
-		fmt.Sscan(string(text), &most)
-		all = min(all, most/2)
+		fmt.Sscan(string(text), &maxReceiveBuffer)
+		size = min(size, maxReceiveBuffer/2)
 	}
 	for _, form := range []string{"sized", "chunked", "broken off"} {
-		s := play()
+		s := newTestGateway()
 		began, drains, gone := make(chan bool), make(chan bool), make(chan string, 1)
-		host := s.scripted(func(nc net.Conn, head *http.Request) {
-			first, end := fmt.Sprintf("Content-Length: %d\r\n\r\n", all), ""
+		host := s.startScriptedHost(func(nc net.Conn, head *http.Request) {
+			first, end := fmt.Sprintf("Content-Length: %d\r\n\r\n", size), ""
 			if form != "sized" {
-				first = fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n", all)
+				first = fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n", size)
 			}
 			if form == "chunked" {
 				end = "\r\n0\r\n\r\n"
 			}
-			long := bytesOf(all)
+			long := testBytes(size)
 			fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\n%s%s", first, long[:80_000])
 			close(began)
 			<-drains
 			nc.SetWriteDeadline(time.Now().Add(5 * time.Second))
 			_, err := io.WriteString(nc, string(long[80_000:])+end)
-			for until := time.Now().Add(5 * time.Second); held(nc) > 0 && time.Now().Before(until); {
+			for until := time.Now().Add(5 * time.Second); unsentBytes(nc) > 0 && time.Now().Before(until); {
 				time.Sleep(time.Millisecond)
 			}
-			gone <- fmt.Sprintf("host gave all: %v, its socket holds %d", err == nil, held(nc))
+			gone <- fmt.Sprintf("host gave all: %v, its socket holds %d", err == nil, unsentBytes(nc))
 			nc.(*net.TCPConn).SetLinger(0)
 			nc.Close()
 		})
 		c := s.slowClientOfDrainingHost(host, began)
 		close(drains)
 		fmt.Print(form, ": ", <-gone)
-		answer, err := http.ReadResponse(c.r, nil)
+		answer, err := http.ReadResponse(c.reader, nil)
 		if err != nil {
 			panic(err)
 		}
 		n, err := io.Copy(io.Discard, answer.Body)
-		fmt.Println(", client has all:", n == int64(all), err)
+		fmt.Println(", client has all:", n == int64(size), err)
 		c.Close()
 	}
 	// Output:
@@ -345,15 +345,15 @@
 
 // slowClientOfDrainingHost is a client whose answer has begun and which takes no more of it, so that the gateway waits for it and looks at the
 // host meanwhile. The host, the only one, is told to drain then.
-func (s *stage) slowClientOfDrainingHost(host protocol.HostEntry, began <-chan bool) *line {
-	s.applyList(s.discovery.conn, 1, &protocol.HostList{Revision: 5, Full: true, Hosts: []protocol.HostEntry{host}})
-	c := s.dial()
+func (g *testGateway) slowClientOfDrainingHost(host protocol.HostEntry, began <-chan bool) *clientConn {
+	g.applyList(g.discovery.conn, 1, &protocol.HostList{Revision: 5, Full: true, Hosts: []protocol.HostEntry{host}})
+	c := g.dial()
 	c.Conn.(*net.TCPConn).SetReadBuffer(64 << 10)
-	io.WriteString(c, text("read", "long", ""))
+	io.WriteString(c, requestText("read", "long", ""))
 	<-began
-	c.r.Peek(1)
+	c.reader.Peek(1)
 	host.State = "terminating"
-	s.applyList(s.discovery.conn, 0, &protocol.HostList{Revision: 6, Hosts: []protocol.HostEntry{host}})
+	g.applyList(g.discovery.conn, 0, &protocol.HostList{Revision: 6, Hosts: []protocol.HostEntry{host}})
 	return c
 }
 
@@ -361,17 +361,17 @@
 // order that lost requests: the host drains, so the gateway looks whether more has come, and the reset is there as it looks. On Linux a look
 // takes a connection's error with it, and the next read finds a proper end.
 func ExampleDispatcher_streamResponse_resetWithoutLength() {
-	const all = megabyte
+	const size = megabyte
 	for _, end := range []string{"closed", "reset"} {
-		s := play()
+		s := newTestGateway()
 		began, drains, ended := make(chan bool), make(chan bool), make(chan bool)
-		host := s.scripted(func(nc net.Conn, head *http.Request) {
-			long := bytesOf(all)
+		host := s.startScriptedHost(func(nc net.Conn, head *http.Request) {
+			long := testBytes(size)
 			fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\n\r\n%s", long[:80_000])
 			close(began)
 			<-drains
 			nc.Write(long[80_000:])
-			for until := time.Now().Add(5 * time.Second); held(nc) > 0 && time.Now().Before(until); {
+			for until := time.Now().Add(5 * time.Second); unsentBytes(nc) > 0 && time.Now().Before(until); {
 				time.Sleep(time.Millisecond)
 			}
 			if end == "reset" {
@@ -383,12 +383,12 @@
 		c := s.slowClientOfDrainingHost(host, began)
 		close(drains)
 		<-ended
-		answer, err := http.ReadResponse(c.r, nil)
+		answer, err := http.ReadResponse(c.reader, nil)
 		if err != nil {
 			panic(err)
 		}
 		n, err := io.Copy(io.Discard, answer.Body)
-		fmt.Printf("%s: client has all that came: %v, whole: %v, cut off: %d\n", end, n == all, err == nil, s.Counters.ResponsesCutOff.Load())
+		fmt.Printf("%s: client has all that came: %v, whole: %v, cut off: %d\n", end, n == size, err == nil, s.Counters.ResponsesCutOff.Load())
 		c.Close()
 	}
 	// Output:
@@ -400,16 +400,16 @@
 // ten seconds for which a host may be silent, each time that a client gave up on such an answer.
 func ExampleDispatcher_streamResponse_clientLeaves() {
 	silent, ended := make(chan bool), make(chan time.Time)
-	s := playScripted(func(nc net.Conn, head *http.Request) {
-		fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\n\r\n%s", bytesOf(80_000))
+	s := newGatewayWithScriptedHost(func(nc net.Conn, head *http.Request) {
+		fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\n\r\n%s", testBytes(80_000))
 		close(silent)
 		nc.Read(make([]byte, 1))
 		ended <- time.Now()
 	})
 	c := s.dial()
-	io.WriteString(c, text("read", "long", ""))
+	io.WriteString(c, requestText("read", "long", ""))
 	<-silent
-	answer, err := http.ReadResponse(c.r, nil)
+	answer, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		panic(err)
 	}
@@ -417,7 +417,7 @@
 	left := time.Now()
 	c.Close()
 	fmt.Println("host's connection given up within a second:", (<-ended).Sub(left) < time.Second)
-	s.until("nothing is open", func() bool { return s.Counters.OpenTransactions.Load() == 0 && s.listener.OpenClients() == 0 })
+	s.waitFor("nothing is open", func() bool { return s.Counters.OpenTransactions.Load() == 0 && s.listener.OpenClients() == 0 })
 	// Output:
 	// host's connection given up within a second: true
 }
--- a/internal/routing/told_test.go
+++ b/internal/routing/told_test.go
@@ -16,18 +16,18 @@
 	"time"
 )
 
-// toldWithin is the bound on all that is below: a change counts as told so long after discovery had it and could be reached, whatever call
+// maxPropagationTime is the bound on all that is below: a change counts as told so long after discovery had it and could be reached, whatever call
 // had failed, was refused or was given up before.
-const toldWithin = 6 * time.Second
+const maxPropagationTime = 6 * time.Second
 
-// queueMost is how long discovery lets a call wait for its turn; one that would wait longer is turned away.
-const queueMost = 2 * time.Second
+// maxDiscoveryQueueTime is how long discovery lets a call wait for its turn; one that would wait longer is turned away.
+const maxDiscoveryQueueTime = 2 * time.Second
 
-// timeline is what is due in a model's time, the soonest first, and of one instant in the order in which it was put there.
-type timeline struct {
-	due []event
-	put int
-	now time.Duration
+// simulatedTime is what is due in a model's time, the soonest first, and of one instant in the order in which it was put there.
+type simulatedTime struct {
+	events []event
+	added  int
+	now    time.Duration
 }
 
 type event struct {
@@ -36,202 +36,202 @@
 	do    func()
 }
 
-func (l *timeline) Len() int { return len(l.due) }
-func (l *timeline) Less(i, j int) bool {
-	a, b := l.due[i], l.due[j]
+func (t *simulatedTime) Len() int { return len(t.events) }
+func (t *simulatedTime) Less(i, j int) bool {
+	a, b := t.events[i], t.events[j]
 	return a.at < b.at || a.at == b.at && a.order < b.order
 }
-func (l *timeline) Swap(i, j int) { l.due[i], l.due[j] = l.due[j], l.due[i] }
-func (l *timeline) Push(x any)    { l.due = append(l.due, x.(event)) }
-func (l *timeline) Pop() any {
-	last := l.due[len(l.due)-1]
-	l.due = l.due[:len(l.due)-1]
+func (t *simulatedTime) Swap(i, j int) { t.events[i], t.events[j] = t.events[j], t.events[i] }
+func (t *simulatedTime) Push(x any)    { t.events = append(t.events, x.(event)) }
+func (t *simulatedTime) Pop() any {
+	last := t.events[len(t.events)-1]
+	t.events = t.events[:len(t.events)-1]
 	return last
 }
 
-func (l *timeline) in(d time.Duration, do func()) {
-	l.put++
-	heap.Push(l, event{l.now + d, l.put, do})
+func (t *simulatedTime) schedule(delay time.Duration, do func()) {
+	t.added++
+	heap.Push(t, event{t.now + delay, t.added, do})
 }
 
-func (l *timeline) run(until time.Duration) {
-	for len(l.due) > 0 && l.due[0].at < until {
-		e := heap.Pop(l).(event)
-		l.now = e.at
+func (t *simulatedTime) run(until time.Duration) {
+	for len(t.events) > 0 && t.events[0].at < until {
+		e := heap.Pop(t).(event)
+		t.now = e.at
 		e.do()
 	}
 }
 
-// fleet is many gateways that watch one discovery, in a model's time: they wait, give up and back off by the constants and the function of
+// simulatedFleet is many gateways that watch one discovery, in a model's time: they wait, give up and back off by the constants and the function of
 // the program. Discovery takes one call of each gateway in the time of a round, in turn; one for which the queue is full is refused.
-type fleet struct {
-	timeline
-	gateways int
-	round    time.Duration
-	renewals bool // the call with which a watch goes on costs as much as one that begins it
-	jitter   *rand.Rand
+type simulatedFleet struct {
+	simulatedTime
+	gateways     int
+	round        time.Duration
+	renewalsCost bool // the call with which a watch goes on costs as much as one that begins it
+	jitter       *rand.Rand
 
-	free    time.Duration // by when discovery is through with what it has taken
-	down    string        // what it does with calls now: "", "refuses", "silent"
-	changed bool
-	calls   []time.Duration
-	refused int
-	watches []*watching
+	freeAt      time.Duration // by when discovery is through with what it has taken
+	failureMode string        // what it does with calls now: "", "refuses", "silent"
+	changed     bool
+	calls       []time.Duration
+	refused     int
+	watchers    []*simulatedWatcher
 }
 
-// watching is one gateway's.
-type watching struct {
-	f      *fleet
-	call   int // the number of the call that is out
-	began  time.Duration
-	waits  bool // discovery has it, and will tell
-	goesOn bool // the watch has not ended since the last call
-	again  bool // the last call was cut off, and this one followed at once
-	known  time.Duration
+// simulatedWatcher is one gateway's.
+type simulatedWatcher struct {
+	fleet     *simulatedFleet
+	call      int // the number of the call that is out
+	startedAt time.Duration
+	waiting   bool // discovery has it, and will tell
+	continues bool // the watch has not ended since the last call
+	retried   bool // the last call was cut off, and this one followed at once
+	knownAt   time.Duration
 }
 
-const step = time.Millisecond // one way over the network
+const networkDelay = time.Millisecond // one way over the network
 
-func (w *watching) ask() {
-	f := w.f
+func (w *simulatedWatcher) startCall() {
+	f := w.fleet
 	w.call++
 	call := w.call
-	w.began, w.waits = f.now, false
+	w.startedAt, w.waiting = f.now, false
 	f.calls = append(f.calls, f.now)
-	f.in(listWatchDuration+listWatchGrace, func() { w.ends(call, true) })
+	f.schedule(listWatchDuration+listWatchGrace, func() { w.callFailed(call, true) })
 	switch {
-	case f.down == "silent":
+	case f.failureMode == "silent":
 		return
-	case f.down == "refuses" || f.free-f.now > queueMost:
+	case f.failureMode == "refuses" || f.freeAt-f.now > maxDiscoveryQueueTime:
 		f.refused++
-		f.in(step, func() { w.ends(call, false) })
+		f.schedule(networkDelay, func() { w.callFailed(call, false) })
 		return
 	}
 	took := f.round / time.Duration(f.gateways)
-	if w.goesOn && !f.renewals {
+	if w.continues && !f.renewalsCost {
 		took = 0
 	}
-	f.free = max(f.free, f.now) + took
-	f.in(f.free-f.now, func() { // its turn has come
+	f.freeAt = max(f.freeAt, f.now) + took
+	f.schedule(f.freeAt-f.now, func() { // its turn has come
 		switch {
-		case w.call != call || f.down == "silent":
-		case f.changed && w.known == 0:
-			w.told(call)
+		case w.call != call || f.failureMode == "silent":
+		case f.changed && w.knownAt == 0:
+			w.responseSent(call)
 		default:
-			w.waits = true
-			f.in(max(0, w.began+listWatchDuration-f.now), func() {
-				if w.waits && w.call == call {
-					w.told(call)
+			w.waiting = true
+			f.schedule(max(0, w.startedAt+listWatchDuration-f.now), func() {
+				if w.waiting && w.call == call {
+					w.responseSent(call)
 				}
 			})
 		}
 	})
 }
 
-// told is an answer to the call; it brings the change where discovery has it.
-func (w *watching) told(call int) {
-	w.waits = false
-	w.f.in(step, func() {
+// responseSent is an answer to the call; it brings the change where discovery has it.
+func (w *simulatedWatcher) responseSent(call int) {
+	w.waiting = false
+	w.fleet.schedule(networkDelay, func() {
 		if w.call != call {
 			return
 		}
-		if w.f.changed && w.known == 0 {
-			w.known = w.f.now
+		if w.fleet.changed && w.knownAt == 0 {
+			w.knownAt = w.fleet.now
 		}
-		w.goesOn, w.again = true, false
-		w.ask()
+		w.continues, w.retried = true, false
+		w.startCall()
 	})
 }
 
-// ends is a call that failed, as Desk.watch has it: cut off, or refused.
-func (w *watching) ends(call int, cutOff bool) {
+// callFailed is a call that failed, as Desk.watch has it: cut off, or refused.
+func (w *simulatedWatcher) callFailed(call int, cutOff bool) {
 	if w.call != call {
 		return
 	}
-	w.call, w.waits, w.goesOn = w.call+1, false, false
-	if w.again = cutOff && !w.again; w.again {
-		w.ask()
+	w.call, w.waiting, w.continues = w.call+1, false, false
+	if w.retried = cutOff && !w.retried; w.retried {
+		w.startCall()
 		return
 	}
-	w.f.in(listBackoff(w.f.now-w.began, w.f.jitter.Float64()), w.ask)
+	w.fleet.schedule(listBackoff(w.fleet.now-w.startedAt, w.fleet.jitter.Float64()), w.startCall)
 }
 
-// play plays how discovery fails, and gives the longest time from the change, and from when discovery could be reached, to the last gateway
+// simulate plays how discovery fails, and gives the longest time from the change, and from when discovery could be reached, to the last gateway
 // that knows; and of the calls the mean a second while nothing is wrong, and the most in a second.
-func (f *fleet) play(fault string) (longest time.Duration, usual, most float64) {
+func (f *simulatedFleet) simulate(fault string) (longest time.Duration, usualRate, maxRate float64) {
 	const change, outage = 20 * time.Second, 8 * time.Second
 	f.jitter = rand.New(rand.NewPCG(1, uint64(f.gateways)))
 	for range f.gateways {
-		w := &watching{f: f}
-		f.watches = append(f.watches, w)
-		f.in(time.Duration(f.jitter.Float64()*float64(max(f.round, listWatchDuration))), w.ask)
+		w := &simulatedWatcher{fleet: f}
+		f.watchers = append(f.watchers, w)
+		f.schedule(time.Duration(f.jitter.Float64()*float64(max(f.round, listWatchDuration))), w.startCall)
 	}
-	reached := change
-	f.in(change-step, func() {
+	reachableAt := change
+	f.schedule(change-networkDelay, func() {
 		switch fault {
 		case "reset", "refused": // what waits ends
-			for _, w := range f.watches {
-				if w.waits {
-					w.ends(w.call, fault == "reset")
+			for _, w := range f.watchers {
+				if w.waiting {
+					w.callFailed(w.call, fault == "reset")
 				}
 			}
 		case "silent": // what waits goes unheard, and new calls are answered
-			for _, w := range f.watches {
-				w.waits = false
+			for _, w := range f.watchers {
+				w.waiting = false
 			}
 		case "down":
-			f.down, reached = "refuses", change+outage
-			for _, w := range f.watches {
-				if w.waits {
-					w.ends(w.call, false)
+			f.failureMode, reachableAt = "refuses", change+outage
+			for _, w := range f.watchers {
+				if w.waiting {
+					w.callFailed(w.call, false)
 				}
 			}
 		case "mute":
-			f.down, reached = "silent", change+outage
-			for _, w := range f.watches {
-				w.waits = false
+			f.failureMode, reachableAt = "silent", change+outage
+			for _, w := range f.watchers {
+				w.waiting = false
 			}
 		}
 	})
-	f.in(change, func() {
+	f.schedule(change, func() {
 		f.changed = true
-		for _, w := range f.watches {
-			if w.waits {
-				w.told(w.call)
+		for _, w := range f.watchers {
+			if w.waiting {
+				w.responseSent(w.call)
 			}
 		}
 	})
-	f.in(change+outage, func() { f.down = "" })
+	f.schedule(change+outage, func() { f.failureMode = "" })
 	f.run(60 * time.Second)
-	for _, w := range f.watches {
-		if w.known == 0 {
-			w.known = f.now
+	for _, w := range f.watchers {
+		if w.knownAt == 0 {
+			w.knownAt = f.now
 		}
-		longest = max(longest, w.known-reached)
+		longest = max(longest, w.knownAt-reachableAt)
 	}
 	seconds := map[time.Duration]float64{}
 	for _, at := range f.calls {
-		if at > change/2 && at < change-step {
-			usual++
+		if at > change/2 && at < change-networkDelay {
+			usualRate++
 		}
-		if at >= change-step {
+		if at >= change-networkDelay {
 			seconds[at/time.Second]++
-			most = max(most, seconds[at/time.Second])
+			maxRate = max(maxRate, seconds[at/time.Second])
 		}
 	}
-	return longest, usual / (change / 2).Seconds(), most
+	return longest, usualRate / (change / 2).Seconds(), maxRate
 }
 
 // Where there were 300 gateways a call waited for 20 s, and one that was lost was asked for again up to 5 s later: a drain that began as a
 // watch fell silent was known after 21 s. This is the reckoning for any number of them: the longest until all know, and calls a second, while
 // nothing is wrong and at the most, over all gateways together. Discovery takes a call of each in 2 s here.
-func Example_toldInFleet() {
+func Example_listPropagationInFleet() {
 	for _, gateways := range []int{1, 3, 60, 300, 1000} {
 		for _, fault := range []string{"silent", "reset", "refused", "down", "mute"} {
-			f := &fleet{gateways: gateways, round: 2 * time.Second, renewals: true}
-			longest, usual, most := f.play(fault)
+			f := &simulatedFleet{gateways: gateways, round: 2 * time.Second, renewalsCost: true}
+			longest, usualRate, maxRate := f.simulate(fault)
 			fmt.Printf("%d %s: known %.1f s, in time %t, calls %.1f, at most %.0f\n",
-				gateways, fault, longest.Seconds(), longest <= toldWithin, usual, most)
+				gateways, fault, longest.Seconds(), longest <= maxPropagationTime, usualRate, maxRate)
 		}
 	}
 	// Output:
@@ -263,29 +263,29 @@
 }
 
 // Whatever way a call ends, and however long it was out, the next begins within 4 s of its beginning; the answer's queue makes it 6 s.
-func Example_toldAtTheLatest() {
+func Example_listPropagationBound() {
 	longest := listWatchDuration + listWatchGrace
-	for out := time.Duration(0); out <= max(listWatchDuration+listWatchGrace, listCallTimeout, 2*time.Second); out += time.Millisecond { // 2 s: a connection that never comes up
-		longest = max(longest, out+listBackoff(out, 0.999999))
-		if out+listBackoff(out, 0) < minListBackoff {
-			fmt.Println("too soon:", out)
+	for elapsed := time.Duration(0); elapsed <= max(listWatchDuration+listWatchGrace, listCallTimeout, 2*time.Second); elapsed += time.Millisecond { // 2 s: a connection that never comes up
+		longest = max(longest, elapsed+listBackoff(elapsed, 0.999999))
+		if elapsed+listBackoff(elapsed, 0) < minListBackoff {
+			fmt.Println("too soon:", elapsed)
 		}
 	}
-	fmt.Println(longest, longest+queueMost <= toldWithin)
+	fmt.Println(longest, longest+maxDiscoveryQueueTime <= maxPropagationTime)
 	// Output: 4s true
 }
 
 // The slower discovery works through calls, the later the last gateway is answered, whatever these do: by a round more, where the calls of a
 // watch that goes on cost it next to nothing. Where they cost as much as others and a round takes longer than a call waits, it has more to do
 // than it can at all times.
-func Example_toldByOverbooked() {
+func Example_listPropagationByOverloadedDiscovery() {
 	for _, renewals := range []bool{false, true} {
 		for _, round := range []time.Duration{2, 3, 4, 5, 6, 8} {
 			for _, fault := range []string{"silent", "down"} {
-				f := &fleet{gateways: 300, round: round * time.Second, renewals: renewals}
-				longest, usual, _ := f.play(fault)
+				f := &simulatedFleet{gateways: 300, round: round * time.Second, renewalsCost: renewals}
+				longest, usualRate, _ := f.simulate(fault)
 				fmt.Printf("renewals cost %t, round %d s, %s: known %.1f s, load %.2f, refused %d\n", renewals, round, fault, longest.Seconds(),
-					usual*float64(round)/300, f.refused)
+					usualRate*float64(round)/300, f.refused)
 			}
 		}
 	}
@@ -316,21 +316,21 @@
 	// renewals cost true, round 8 s, down: known 32.0 s, load 3.49, refused 5613
 }
 
-// discovery is one that fails as it is told, over connections, with the watch that waits there as the test lets it.
-type discovery struct {
-	fault  string
-	host   string
-	at     string
-	ln     net.Listener
-	waits  chan bool // a watch does
-	fails  chan bool // closed as it is to
-	had    time.Time // since then discovery has the drain and can be reached; set before it fails
-	failed atomic.Bool
+// failingDiscovery is one that fails as it is told, over connections, with the watch that waits there as the test lets it.
+type failingDiscovery struct {
+	fault        string
+	host         string
+	addr         string
+	ln           net.Listener
+	watchWaiting chan bool // a watch does
+	fail         chan bool // closed as it is to
+	changedAt    time.Time // since then discovery has the drain and can be reached; set before it fails
+	failed       atomic.Bool
 }
 
-const outage = 3 * time.Second
+const outageDuration = 3 * time.Second
 
-func (d *discovery) serve() {
+func (d *failingDiscovery) serve() {
 	for {
 		nc, err := d.ln.Accept()
 		if err != nil {
@@ -340,7 +340,7 @@
 			r := bufio.NewReader(nc)
 			for {
 				call, err := http.ReadRequest(r)
-				if err != nil || !d.answer(nc, call.URL.Query().Get("index")) {
+				if err != nil || !d.handle(nc, call.URL.Query().Get("index")) {
 					return
 				}
 			}
@@ -348,8 +348,8 @@
 	}
 }
 
-// answer answers a call: the list as it was, then it fails as the watch waits, and then there is the drain.
-func (d *discovery) answer(nc net.Conn, index string) (keep bool) {
+// handle answers a call: the list as it was, then it fails as the watch waits, and then there is the drain.
+func (d *failingDiscovery) handle(nc net.Conn, index string) (keep bool) {
 	write := func(status, list string) {
 		fmt.Fprintf(nc, "HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", status, len(list), list)
 	}
@@ -362,15 +362,15 @@
 		return true
 	case index == "6": // all is known
 		return true
-	case d.failed.Load() && time.Now().After(d.had):
+	case d.failed.Load() && time.Now().After(d.changedAt):
 		if d.fault == "overbooked" {
-			time.Sleep(queueMost - 100*time.Millisecond)
+			time.Sleep(maxDiscoveryQueueTime - 100*time.Millisecond)
 		}
 		write("200 OK", `{"rev":6,"targets":[`+entry("terminating")+`]}`)
 		return true
 	case !d.failed.Load():
-		d.waits <- true
-		<-d.fails
+		d.watchWaiting <- true
+		<-d.fail
 		d.failed.Store(true)
 	}
 	switch d.fault {
@@ -389,9 +389,9 @@
 		return true
 	case "down":
 		d.ln.Close()
-		time.AfterFunc(time.Until(d.had), func() {
+		time.AfterFunc(time.Until(d.changedAt), func() {
 			for err := error(io.EOF); err != nil; time.Sleep(time.Millisecond) {
-				d.ln, err = net.Listen("tcp", d.at)
+				d.ln, err = net.Listen("tcp", d.addr)
 			}
 			d.serve()
 		})
@@ -400,53 +400,53 @@
 	return false
 }
 
-// knows gives what a gateway among so many does that watches one which fails: its only host is asked before the fault, and again once the
+// logAcrossDiscoveryFailure gives what a gateway among so many does that watches one which fails: its only host is asked before the fault, and again once the
 // drain is known or has to be.
-func knows(fault string, gateways int, address string) string {
-	s := playBy(strings.NewReplacer(`"balancers":2`, fmt.Sprintf(`"balancers":%d`, gateways), `"askWithin":200000`,
-		`"askWithin":10000000`, `"mayTell":true`, `"mayTell":false`).Replace(settings))
+func logAcrossDiscoveryFailure(fault string, gateways int, address string) string {
+	s := newTestGatewayWith(strings.NewReplacer(`"balancers":2`, fmt.Sprintf(`"balancers":%d`, gateways), `"askWithin":200000`,
+		`"askWithin":10000000`, `"mayTell":true`, `"mayTell":false`).Replace(testSettings))
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
 		panic(err)
 	}
-	d := &discovery{fault: fault, at: ln.Addr().String(), ln: ln, waits: make(chan bool, 9), fails: make(chan bool)}
-	d.host = s.listen(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	d := &failingDiscovery{fault: fault, addr: ln.Addr().String(), ln: ln, watchWaiting: make(chan bool, 9), fail: make(chan bool)}
+	d.host = s.startServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasPrefix(r.URL.Path, "/pay") { // else it is meant for whoever had this port before, in another process
-			s.host("one", w, r)
+			s.serveHost("one", w, r)
 		}
 	}))
 	go d.serve()
-	s.callCore(func(time.Duration) { s.changeDiscoveryAddr(d.at) })
-	<-d.waits
-	s.ask("pay", "go")
-	d.had = time.Now()
+	s.callCore(func(time.Duration) { s.changeDiscoveryAddr(d.addr) })
+	<-d.watchWaiting
+	s.roundTrip("pay", "go")
+	d.changedAt = time.Now()
 	if fault == "down" || fault == "refuses" || fault == "mute" {
-		d.had = d.had.Add(outage)
+		d.changedAt = d.changedAt.Add(outageDuration)
 	}
-	close(d.fails)
-	for known := false; !known && time.Since(d.had) < toldWithin; time.Sleep(10 * time.Millisecond) {
+	close(d.fail)
+	for known := false; !known && time.Since(d.changedAt) < maxPropagationTime; time.Sleep(10 * time.Millisecond) {
 		s.callCore(func(time.Duration) { known = !s.discovery.acceptsNewHops(s.discovery.idByUID["one"]) })
 	}
-	s.ask("pay", "after")
-	return strings.Join(s.lines, "; ")
+	s.roundTrip("pay", "after")
+	return strings.Join(s.log, "; ")
 }
 
 // The same over connections, for each way in which discovery may fail: 6 s after it has the drain and can be reached the gateway knows, and
 // sends nothing more to that host, however many gateways there are.
-func Example_toldWhateverFailed() {
+func Example_listPropagationAfterFailure() {
 	var all sync.WaitGroup
-	said := make(chan string, 99)
+	logs := make(chan string, 99)
 	for g, gateways := range []int{1, 3, 60, 300, 1000} {
 		for i, fault := range []string{"silent", "dribbling", "torn", "reset", "refuses", "overbooked", "down", "mute"} {
 			all.Go(func() { // each at an address of its own: while it listens to nobody no other takes its port
-				said <- fault + ": " + knows(fault, gateways, fmt.Sprintf("127.0.%d.%d:0", 50+g, 1+i))
+				logs <- fault + ": " + logAcrossDiscoveryFailure(fault, gateways, fmt.Sprintf("127.0.%d.%d:0", 50+g, 1+i))
 			})
 		}
 	}
 	all.Wait()
-	close(said)
+	close(logs)
 	lines := slices.Sorted(maps.Keys(maps.Collect(func(yield func(string, bool) bool) {
-		for line := range said {
+		for line := range logs {
 			yield(line, true)
 		}
 	})))
@@ -463,24 +463,24 @@
 }
 
 // A discovery that tells the same again at once, as one that knows no watches does, is not called without a pause.
-func Example_listSame() {
-	s := play("one")
+func Example_unchangedListRepeated() {
+	s := newTestGateway("one")
 	for range 5 {
-		s.lists <- `{"rev":5,"all":true,"targets":[{"uid":"one","az":"a","state":"terminating"}]}`
+		s.discoveryResponses <- `{"rev":5,"all":true,"targets":[{"uid":"one","az":"a","state":"terminating"}]}`
 	}
-	s.untilRev(5)
+	s.waitForRevision(5)
 	began := time.Now()
-	s.until("five more calls", func() bool { return s.Counters.ListCalls.Load() >= 6 })
+	s.waitFor("five more calls", func() bool { return s.Counters.ListCalls.Load() >= 6 })
 	fmt.Println("pauses:", time.Since(began) >= 4*minListCallPause)
 	// Output: pauses: true
 }
 
 // Calls that are refused do not make ever more: the module asks for each loss that it is told of, and a backoff asks beside it. Told of each
 // loss there was one more call under way after each, and 60 gateways made 189 calls a second of a discovery that could not take them.
-func Example_refusedDoNotGrow() {
-	s := playBy(strings.NewReplacer(`"balancers":2`, `"balancers":300`, `"askWithin":200000`, `"askWithin":10000000`, `"mayTell":true`,
-		`"mayTell":false`).Replace(settings), "one")
-	refuses := s.listen(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(503) }))
+func Example_refusedCallsDoNotMultiply() {
+	s := newTestGatewayWith(strings.NewReplacer(`"balancers":2`, `"balancers":300`, `"askWithin":200000`, `"askWithin":10000000`, `"mayTell":true`,
+		`"mayTell":false`).Replace(testSettings), "one")
+	refuses := s.startServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(503) }))
 	s.callCore(func(time.Duration) { s.changeDiscoveryAddr(refuses) })
 	time.Sleep(9 * time.Second)
 	calls := s.Counters.ListCalls.Load() // by the backoff no more than one a second, by the module as many at the most
