--- a/internal/control/bounds.go
+++ b/internal/control/bounds.go
@@ -2,13 +2,26 @@
 
 import "time"
 
+// Bounds of the admin server.
 const (
-	// MaxConnections is how many callers there may be at once: some operators, some collectors of figures, and silent ones beside.
-	MaxConnections     = 24
-	readBufferBytes    = 4 << 10                // bytes: a call is a line and a few fields
-	maxBodyBytes       = 4 << 10                // bytes of a body, which no call needs
-	readTimeout        = 2 * time.Second        // for a call to come whole: what is longer gives no word of itself
-	writeTimeout       = time.Second            // for the answer to be taken: one that comes later is of no use
-	closeLingerTimeout = 200 * time.Millisecond // for the caller to read it before the connection is closed
-	acceptRetryDelay   = 5 * time.Millisecond   // after an accept that went wrong: descriptors come free that fast
+	// MaxConnections bounds the open connections: some operators, some metrics collectors, and silent clients besides.
+	MaxConnections = 24
+
+	// readBufferBytes is enough for a request: a line and a few header fields.
+	readBufferBytes = 4 << 10
+
+	// maxBodyBytes bounds the body of a request, which needs none.
+	maxBodyBytes = 4 << 10
+
+	// readTimeout is how long a request may take to be read completely.
+	readTimeout = 2 * time.Second
+
+	// writeTimeout is how long a client may take to read the response; a later one is of no use.
+	writeTimeout = time.Second
+
+	// closeLingerTimeout is how long input is discarded after the response, so that the client can read it.
+	closeLingerTimeout = 200 * time.Millisecond
+
+	// acceptRetryDelay follows a failed accept: descriptors are freed that fast.
+	acceptRetryDelay = 5 * time.Millisecond
 )
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -1,5 +1,5 @@
-// Package control is the operators' door: a listener and a bound of its own, one call to a connection. It knows no
-// transaction; what it answers it has from functions that it is given.
+// Package control is the admin server: a listener with a connection limit of its own and one request
+// per connection. It knows nothing of transactions; a Gateway provides its answers.
 package control
 
 import (
@@ -16,32 +16,32 @@
 	"spanmux/internal/protocol"
 )
 
-// Gateway is what operators may ask of one and tell it.
+// Gateway is what the admin API reads and controls.
 type Gateway interface {
-	Ready() bool                // it takes clients
-	MetricsJSON() []byte        // as JSON
-	SetDraining(away bool) bool // sends clients away, or takes them again; false where it can't
+	Ready() bool                // it accepts clients
+	MetricsJSON() []byte        // its figures, as JSON
+	SetDraining(away bool) bool // sends clients away, or accepts them again; false if it can't
 }
 
-// AdminServer is where operators call.
+// AdminServer serves the admin API.
 type AdminServer struct {
 	ln             net.Listener
 	gateway        Gateway
-	SucceededCalls atomic.Int64 // answered with yes
-	FailedCalls    atomic.Int64 // answered with anything else
-	Evicted        atomic.Int64 // callers closed for others
+	SucceededCalls atomic.Int64 // answered with status 200
+	FailedCalls    atomic.Int64 // failed, or answered with another status
+	Evicted        atomic.Int64 // connections closed to make room for others
 
 	mu    sync.Mutex
-	conns []*adminConn // in the order in which they came
+	conns []*adminConn // oldest first
 }
 
-// adminConn is a connection; its call has been heard once it is whole.
+// adminConn is one connection.
 type adminConn struct {
 	nc          net.Conn
-	requestRead bool // guarded by the door
+	requestRead bool // the whole request was read; guarded by AdminServer.mu
 }
 
-// Listen opens the door of a gateway.
+// Listen opens the admin server of a gateway at addr.
 func Listen(addr string, gateway Gateway) (*AdminServer, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -50,12 +50,13 @@
 	return &AdminServer{ln: ln, gateway: gateway}, nil
 }
 
+// Addr returns the address that the server listens at.
 func (s *AdminServer) Addr() string { return s.ln.Addr().String() }
 
-// Close takes no more calls.
+// Close stops listening.
 func (s *AdminServer) Close() { s.ln.Close() }
 
-// Serve answers calls until Close.
+// Serve serves requests until Close.
 func (s *AdminServer) Serve() {
 	for {
 		nc, err := s.ln.Accept()
@@ -79,8 +80,9 @@
 	}
 }
 
-// register takes a place for a caller. Those that have said nothing, or half a call, stay for as long as they like, so the one
-// of them that came first gives way; one that is being answered is done in a moment.
+// register adds a connection, within MaxConnections. Clients that send nothing, or half a request, may
+// stay for as long as they like, so the oldest of those is evicted; one that is being answered is done
+// in a moment.
 func (s *AdminServer) register(c *adminConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,6 +100,7 @@
 	return true
 }
 
+// unregister closes and removes a connection.
 func (s *AdminServer) unregister(c *adminConn) {
 	c.nc.Close()
 	s.mu.Lock()
@@ -107,12 +110,12 @@
 	}
 }
 
-// serveConn hears a call and answers it.
+// serveConn reads a request and answers it.
 func (s *AdminServer) serveConn(c *adminConn) {
 	c.nc.SetReadDeadline(time.Now().Add(readTimeout))
 	r := bufio.NewReaderSize(c.nc, readBufferBytes)
 	status, allow, body, err := s.handle(r, c)
-	if err != nil { // it left, or said nothing
+	if err != nil { // it closed, or sent nothing
 		s.FailedCalls.Add(1)
 		return
 	}
@@ -124,13 +127,14 @@
 	c.nc.SetWriteDeadline(time.Now().Add(writeTimeout))
 	response := protocol.AdminResponse(status, allow, body)
 	if _, err := response.WriteTo(c.nc); err == nil && c.nc.(*net.TCPConn).CloseWrite() == nil {
-		// Closed with input unread the connection would be reset, and the answer lost with it.
+		// Closing with unread input would reset the connection and lose the response.
 		c.nc.SetReadDeadline(time.Now().Add(closeLingerTimeout))
 		io.CopyN(io.Discard, c.nc, maxBodyBytes)
 	}
 }
 
-// handle gives the answer to a call; allow is the method that its path has, where it came with another.
+// handle reads a request and returns the response to it. allow is the method of its path, if the
+// request had another.
 func (s *AdminServer) handle(r *bufio.Reader, c *adminConn) (status int, allow string, body []byte, err error) {
 	method, path, err := protocol.ReadAdminRequest(r, maxBodyBytes, func() error { _, err := c.nc.Write(protocol.ContinueResponse); return err })
 	if err != nil {
