--- a/internal/routing/admit.go
+++ b/internal/routing/admit.go
@@ -9,8 +9,8 @@
 	"spanmux/logic"
 )
 
-// admit hands a transaction to the module unless it makes no sense or there is no room; it is false where the
-// connection ends.
+// admit hands a transaction to the decision core, unless it is invalid or there are too many
+// connections. It returns false if the connection ends.
 func (d *Dispatcher) admit(t *tx) bool {
 	d.mu.Lock()
 	t.counters = d.profileCounters[t.request.Profile]
@@ -21,7 +21,8 @@
 	case !known:
 		reason = "unknown profile"
 	case profileIndex < 0:
-		// Taken by its method it might run twice; a profile's repeats are only known by their mark.
+		// Admitted by its method alone it might run twice: repeats are known only by the idempotency key that
+		// the profile requires.
 		reason = "method or mark not of this profile"
 	case t.client.OverLimit:
 		d.Counters.RejectedBeforeAdmission.Add(1)
@@ -29,7 +30,7 @@
 		response := protocol.TextResponse(503, "no room\n", 0, true)
 		if t.request.RemainingBody == nil {
 			t.client.WriteFinal(response)
-		} else if t.client.Write(response) == nil { // it may be whole, and only not read: then it is owed this answer
+		} else if t.client.Write(response) == nil { // the client may have sent all of it: it has to receive this response
 			t.client.CloseWrite()
 			t.client.DiscardInput()
 		}
@@ -52,7 +53,8 @@
 	return true
 }
 
-// newArrival is a transaction as the module takes it; under the lock, as tenants may change.
+// newArrival describes a transaction for the decision core. The caller holds d.mu, as tenants may
+// change.
 func (d *Dispatcher) newArrival(request *protocol.Transaction, profileIndex int, budget time.Duration) logic.Arrival {
 	a := logic.Arrival{ProfileIndex: profileIndex, TenantIndex: -1, Budget: budget, BodyPending: request.RemainingBody != nil}
 	if d.core.KeyAffinity && len(request.Object) > 0 {
--- a/internal/routing/bounds.go
+++ b/internal/routing/bounds.go
@@ -2,47 +2,145 @@
 
 import "time"
 
+// Bounds and defaults.
 const (
-	// clockOrigin is where the module's clock stands at the start. A host that has started within this time before the
-	// gateway is known to have; any warm-up is far shorter.
-	clockOrigin                    = time.Hour
-	responseTimeReserve            = 5 * time.Millisecond    // of a budget, for the way back: the client's clock started when it sent
-	probeTimeout                   = 500 * time.Millisecond  // after which the load of a host is no news
-	defaultMaxListPollInterval     = 10 * time.Second        // without asking for the list, where the settings name no bound: a drain's time
-	listWatchDuration              = 3 * time.Second         // of a watch's call: one that has fallen silent is known no sooner. With listLate and the next answer's queue, 2 s, it makes the 6 s within which a change counts as told
-	listWatchGrace                 = time.Second             // after which a call that waits counts as lost, over that: an answer may queue for some of it
-	listCallTimeout                = 2500 * time.Millisecond // the same for one that does not wait: discovery works through calls in turn, and a full queue is 2 s long. Given up sooner, of a full one none was answered
-	minListBackoff                 = time.Second             // from the beginning of a call that failed to the next, by chance: discovery that is down, or has too many callers, is not asked sooner
-	maxListBackoff                 = 3 * time.Second         // the same at the most: it and an answer's queue, 2 s, stay within the 6 s
-	listRetriesPerDrainGrace       = 4                       // of a drain's grace, between calls for a list that is pushed while it can't be had
-	minListCallPause               = 100 * time.Millisecond  // before the next call where one brought nothing: within the 200 ms of a watch
-	defaultMaxSockets              = 1024                    // what a process may have open where nothing is said of it
-	defaultMemoryBytes             = 64 << 20                // bytes that a process may use, ditto
-	bodyBudgetDivisor              = 8                       // one byte in so many of that is for bodies over the usual size that are held whole
-	readAheadBudgetDivisor         = 8                       // ditto for what is read ahead of clients that are slow to read
-	streamBufferBytes              = 16 << 10                // of what is streamed, at a time: one a connection, far under the memory for all
-	maxEarlyBodyBytes              = 1 << 20                 // bytes of a body that are read while its host is not there: as much as a client's machine may hold back
-	maxReadAheadTailBytes          = 256 << 10               // bytes of an answer that its host is let get rid of at once: as much as its socket may hold
-	maxDrainingReadAheadBytes      = 1 << 20                 // ditto where it drains: sockets grow their buffers to some megabytes, and memory bounds it
-	drainingHostReceiveBufferBytes = 4 << 20                 // of this machine's socket for such an answer: as much as hosts' sockets grow to; the system may allow less
-	unsizedResponseHoldTimeout     = 50 * time.Millisecond   // for an answer that does not say its size to be whole, before it goes on as it comes: a short one is at once
-	maxBodyWritersPerTransaction   = 64                      // hops of one transaction whose connections may come up: more than settings allow
-	hostStreamIdleTimeout          = 10 * time.Second        // for the next piece of a streamed answer: one that gives none for so long is gone
-	clientStreamIdleTimeout        = 10 * time.Second        // for a client to take some of a streamed answer: one that takes none for so long is gone
-	defaultIdleConnTimeout         = 4 * time.Second         // for which hosts keep a connection, ditto: a short one among servers
-	defaultConnectTimeout          = time.Second             // for a connection to come up, ditto: one lost packet's time
-	maxShutdownHardLimit           = 3 * time.Second         // a hard limit, ditto: the longest for which an ending process is let go on
-	reservedSockets                = 16                      // beside those of clients and hosts: list, tells, files, those about to close
-	overLimitSocketDivisor         = 16                      // one socket in so many is for clients that are turned away
-	hostSocketDivisor              = 4                       // one in so many of the others is left to hosts, whatever clients take
-	singleProcessSocketFraction    = 0.75                    // of the sockets for a process that may be replaced: the rest is its successor's start
-	overlapSocketFraction          = 0.55                    // for one that succeeds another: what that one has becomes fewer
-	overlapDuration                = 1500 * time.Millisecond // after the successor takes clients: the one before has hardly any by then
-	predecessorActiveDuration      = 10 * time.Second        // after the start: by then the one before has ended, whatever it had taken
-	peerListenRetryDelay           = 20 * time.Millisecond   // between tries for an address that is in use
-	freshListTimeout               = 1500 * time.Millisecond // for the list to come before an older one will do: it is asked for within a second
-	shutdownAcceptDuration         = 600 * time.Millisecond  // for which connections go on coming after the word to end: fronts lag
-	shutdownResponseReserve        = 100 * time.Millisecond  // before an ending process ends, for the last answers to be written
-	shutdownPollInterval           = 10 * time.Millisecond   // between looks whether all clients have gone: far less than an answer takes
-	maxLogLinesPerSecond           = 20                      // log lines of one sort a second: enough to see what it is
+	// clockOrigin is what the core's clock shows when the gateway starts. A host that started up to this long before
+	// the gateway keeps its start time; any warm-up is far shorter.
+	clockOrigin = time.Hour
+
+	// responseTimeReserve is taken off the time budget of each request for the way back: the client's clock has run
+	// since it sent the request.
+	responseTimeReserve = 5 * time.Millisecond
+
+	// probeTimeout is how long a host may take to answer a probe; an older load report is of no use.
+	probeTimeout = 500 * time.Millisecond
+
+	// defaultMaxListPollInterval is how long the gateway may go without asking for the host list where the settings
+	// name no bound: as long as a drain takes.
+	defaultMaxListPollInterval = 10 * time.Second
+
+	// listWatchDuration is how long discovery may hold a watch call; one that has fallen silent is noticed no sooner.
+	// With listWatchGrace and the queue before the next answer, 2 s, it makes up the 6 s within which a change of the
+	// list has to be known.
+	listWatchDuration = 3 * time.Second
+
+	// listWatchGrace is added to listWatchDuration before a watch call counts as failed: its answer may queue at
+	// discovery for part of it.
+	listWatchGrace = time.Second
+
+	// listCallTimeout is the timeout of a call that discovery does not hold. Discovery answers calls in turn and its
+	// full queue is 2 s long: with a shorter timeout none of a full queue's calls would be answered.
+	listCallTimeout = 2500 * time.Millisecond
+
+	// minListBackoff is the shortest time from the beginning of a failed call to the next one, which is chosen at
+	// random. It spares a discovery that is down or has too many callers.
+	minListBackoff = time.Second
+
+	// maxListBackoff is the longest such time: with the queue before an answer, 2 s, it stays within the 6 s.
+	maxListBackoff = 3 * time.Second
+
+	// listRetriesPerDrainGrace is how often, within a drain's grace, a pushed list is asked for that can't be had.
+	listRetriesPerDrainGrace = 4
+
+	// minListCallPause separates calls that bring nothing new; it stays within the 200 ms allowed to a watch.
+	minListCallPause = 100 * time.Millisecond
+
+	// defaultMaxSockets is how many sockets a process may have open where the configuration names no figure.
+	defaultMaxSockets = 1024
+
+	// defaultMemoryBytes is how much memory a process may use where the configuration names no figure.
+	defaultMemoryBytes = 64 << 20
+
+	// bodyBudgetDivisor: 1/8 of memory is for bodies over the usual size that are held whole.
+	bodyBudgetDivisor = 8
+
+	// readAheadBudgetDivisor: 1/8 of memory is for what is read ahead of slow clients.
+	readAheadBudgetDivisor = 8
+
+	// streamBufferBytes is how much of a streamed message is held at a time. Each connection has one such buffer, far
+	// less than the memory for all.
+	streamBufferBytes = 16 << 10
+
+	// maxEarlyBodyBytes bounds what is read of a body before its host is connected: as much as a client's machine may
+	// have buffered.
+	maxEarlyBodyBytes = 1 << 20
+
+	// maxReadAheadTailBytes bounds how much of the end of a response is read ahead of a slow client, so that its host
+	// is done with it: as much as the host's socket may hold.
+	maxReadAheadTailBytes = 256 << 10
+
+	// maxDrainingReadAheadBytes is the same bound for a host that drains. Sockets grow their buffers to some
+	// megabytes; memory bounds it.
+	maxDrainingReadAheadBytes = 1 << 20
+
+	// drainingHostReceiveBufferBytes is the receive buffer asked for on a connection to a host that drains: as much as
+	// hosts' send buffers grow to. The system may allow less.
+	drainingHostReceiveBufferBytes = 4 << 20
+
+	// unsizedResponseHoldTimeout is how long a response without a length may take to be whole before it is streamed;
+	// a short one is whole at once.
+	unsizedResponseHoldTimeout = 50 * time.Millisecond
+
+	// maxBodyWritersPerTransaction bounds the hops of one transaction whose connections come up while its body waits;
+	// settings allow fewer.
+	maxBodyWritersPerTransaction = 64
+
+	// hostStreamIdleTimeout is how long a host may send nothing of a streamed response before it counts as gone.
+	hostStreamIdleTimeout = 10 * time.Second
+
+	// clientStreamIdleTimeout is how long a client may read nothing of a streamed response before it counts as gone.
+	clientStreamIdleTimeout = 10 * time.Second
+
+	// defaultIdleConnTimeout is how long hosts are taken to keep an idle connection where the settings don't say: a
+	// short time among servers.
+	defaultIdleConnTimeout = 4 * time.Second
+
+	// defaultConnectTimeout is how long a connection to a host may take to come up where the settings don't say: it
+	// allows for one lost packet.
+	defaultConnectTimeout = time.Second
+
+	// maxShutdownHardLimit bounds the hard limit for which open transactions are waited for at the end; it also applies
+	// where the settings name none.
+	maxShutdownHardLimit = 3 * time.Second
+
+	// reservedSockets are for discovery, peer messages, files and connections about to close.
+	reservedSockets = 16
+
+	// overLimitSocketDivisor: 1/16 of the sockets is for clients that are rejected.
+	overLimitSocketDivisor = 16
+
+	// hostSocketDivisor: 1/4 of the connections is kept for hosts, however many clients there are.
+	hostSocketDivisor = 4
+
+	// singleProcessSocketFraction is the share of the sockets for a process that may be replaced; the rest lets its
+	// successor start.
+	singleProcessSocketFraction = 0.75
+
+	// overlapSocketFraction is the share for a process while its predecessor may still run, which needs fewer and fewer.
+	overlapSocketFraction = 0.55
+
+	// overlapDuration is the time from a successor accepting clients until its predecessor has hardly any.
+	overlapDuration = 1500 * time.Millisecond
+
+	// predecessorActiveDuration is the time after the start by which the predecessor has ended, whatever it had accepted.
+	predecessorActiveDuration = 10 * time.Second
+
+	// peerListenRetryDelay separates attempts to listen at an address that the predecessor still uses.
+	peerListenRetryDelay = 20 * time.Millisecond
+
+	// freshListTimeout is how long a cached list has to wait for a current one before clients are accepted with it.
+	freshListTimeout = 1500 * time.Millisecond
+
+	// shutdownAcceptDuration is how long connections are accepted after the signal to end, as load balancers in front
+	// learn of it late.
+	shutdownAcceptDuration = 600 * time.Millisecond
+
+	// shutdownResponseReserve is left before the process ends for the last responses to be written.
+	shutdownResponseReserve = 100 * time.Millisecond
+
+	// shutdownPollInterval separates checks whether all clients are gone: far less than a response takes.
+	shutdownPollInterval = 10 * time.Millisecond
+
+	// maxLogLinesPerSecond bounds the log lines of one kind.
+	maxLogLinesPerSecond = 20
 )
--- a/internal/routing/counters.go
+++ b/internal/routing/counters.go
@@ -12,37 +12,60 @@
 	"spanmux/logic"
 )
 
+// counter is a count that may be read at any time.
 type counter = atomic.Int64
 
-// Counters counts what the gateway takes in, sends and answers.
+// Counters counts what the gateway receives, sends and answers.
 type Counters struct {
-	Admitted, Committed, RolledBack, Abandoned                                   counter
-	ClientLeft, Declined                                                         counter
-	ClientLeftBeforeAdmission                                                    counter // whole messages whose clients had closed before they were taken
+	// Transactions, by how they ended.
+	Admitted, Committed, RolledBack, Abandoned counter
+	ClientLeft, Declined                       counter
+	// ClientLeftBeforeAdmission counts complete requests whose clients had closed before admission.
+	ClientLeftBeforeAdmission                                                    counter
 	RejectedBeforeAdmission, InvalidInputs, ResponsesUnwritten, ClientReadErrors counter
-	Hops, HopsWritten                                                            counter // begun, and written whole
-	HopsWithdrawn                                                                counter // not written, as nobody waited any more or the host took nothing new
-	HopsNoSocket                                                                 counter // not written, as no socket came free for it
-	ResponsesStreamed, ResponsesCutOff                                           counter // answers begun to be passed on in pieces; of these, those broken off
-	OpenTransactions                                                             counter // taken and not ended
-	HandedOver, Adopted                                                          counter // streamed answers that went over to the next process, and came from the one before
-	SettingsApplied, SettingsRejected                                            counter // files taken and turned down
-	HopOutcomes                                                                  [logic.HopNotSent + 1]counter
-	Probes, ProbesAnswered                                                       counter
-	ListCalls, ListCallsFailed                                                   counter
-	ListCallsRetried, ListsStale                                                 counter // had again at once, as the watch was cut off; older than what is in hand, and not taken
-	PeerMessages, PeerMessagesReceived, PeerMessagesInvalid                      counter
-	PeerMessagesUnsent                                                           counter
-	PickRequests, PickResponses                                                  counter    // for a host drawn by another gateway; answers that came, late ones too
-	ResponseMicroseconds                                                         counter    // from taken to answered, of all together
-	warningLimiter                                                               logLimiter // of what comes from outside
-	coreLogLimiter                                                               logLimiter // of the module
+
+	// Hops that were begun, and those written completely.
+	Hops, HopsWritten counter
+	// HopsWithdrawn counts hops not written as the transaction was over or the host accepted no new hops.
+	HopsWithdrawn counter
+	// HopsNoSocket counts hops not written as no socket came free for them.
+	HopsNoSocket counter
+
+	// Responses that began to be streamed, and those of them that were broken off.
+	ResponsesStreamed, ResponsesCutOff counter
+	// OpenTransactions is the number of transactions admitted and not ended.
+	OpenTransactions counter
+	// Clients handed over to the next process and adopted from the previous one, within a streamed response or a request.
+	HandedOver, Adopted counter
+	// Configuration files applied and rejected.
+	SettingsApplied, SettingsRejected counter
+	HopOutcomes                       [logic.HopNotSent + 1]counter
+	Probes, ProbesAnswered            counter
+
+	// Calls for the host list.
+	ListCalls, ListCallsFailed counter
+	// Calls repeated at once after an interrupted watch; lists that were older than the current one and not applied.
+	ListCallsRetried, ListsStale counter
+
+	// Datagrams to and from other gateways.
+	PeerMessages, PeerMessagesReceived, PeerMessagesInvalid counter
+	PeerMessagesUnsent                                      counter
+	// Requests that another gateway pick a host; responses received, late ones too.
+	PickRequests, PickResponses counter
+
+	// ResponseMicroseconds is the total time from admission to response.
+	ResponseMicroseconds counter
+
+	warningLimiter logLimiter // for warnings about input and peers
+	coreLogLimiter logLimiter // for messages of the decision core
 }
 
-// profileCounters counts the answers to the transactions of one profile, each as its last byte is written.
+// profileCounters counts the responses to the transactions of one profile, each once its last byte is
+// written.
 type profileCounters struct{ committed, rolledBack, aborted counter }
 
-// forResponse is where an answer counts: one that can't be written is aborted, as is all that is neither committed nor rolled back.
+// forResponse returns the counter for a response. One that can't be written counts as aborted, as does
+// every status that means neither committed nor rolled back.
 func (p *profileCounters) forResponse(status int, written bool) *counter {
 	switch {
 	case written && status == 200:
@@ -53,16 +76,17 @@
 	return &p.aborted
 }
 
-// addProfileCounters sees to it that each profile has a tally; one that is dropped keeps its own. Under the lock, once others may call.
+// addProfileCounters makes sure that each profile has counters; those of a removed profile are kept.
+// The caller holds d.mu once other goroutines use d.
 func (d *Dispatcher) addProfileCounters() {
-	for name := range d.core.ProfileIndexes { // in any order: each gets its own
+	for name := range d.core.ProfileIndexes { // the order doesn't matter
 		if d.profileCounters[name] == nil {
 			d.profileCounters[name] = &profileCounters{}
 		}
 	}
 }
 
-// MetricsJSON is what the operators' door shows, under the names that they have for it.
+// MetricsJSON returns the figures that the admin server shows.
 func (d *Dispatcher) MetricsJSON() []byte {
 	metrics := struct {
 		Succeeded   map[string]int64 `json:"succeeded"`
@@ -78,7 +102,7 @@
 		Forwards: d.Counters.HopsWritten.Load(), Outstanding: d.Counters.OpenTransactions.Load(),
 		Applied: d.Counters.SettingsApplied.Load(), Rejected: d.Counters.SettingsRejected.Load()}
 	d.mu.Lock()
-	for name, counters := range d.profileCounters { // in any order: it is written in that of the names
+	for name, counters := range d.profileCounters { // encoding/json sorts the keys
 		metrics.Succeeded[name] = counters.committed.Load()
 		metrics.Declined[name], metrics.Aborted[name] = counters.rolledBack.Load(), counters.aborted.Load()
 	}
@@ -89,7 +113,7 @@
 	return text
 }
 
-// recordInvalidInput counts bad input; what it was is logged within a bound.
+// recordInvalidInput counts invalid input and logs the reason, within the rate limit.
 func (c *Counters) recordInvalidInput(reason string, attrs ...any) {
 	c.InvalidInputs.Add(1)
 	if c.warningLimiter.allow() {
@@ -97,9 +121,10 @@
 	}
 }
 
-// logLimiter lets so many lines a second through.
+// logLimiter limits log lines to maxLogLinesPerSecond.
 type logLimiter struct{ second, lines atomic.Int64 }
 
+// allow reports whether one more line may be logged in the current second.
 func (l *logLimiter) allow() bool {
 	if now := time.Now().Unix(); l.second.Swap(now) != now {
 		l.lines.Store(0)
@@ -107,7 +132,7 @@
 	return l.lines.Add(1) <= maxLogLinesPerSecond
 }
 
-// CountersText is all that is counted, a line each.
+// CountersText returns all counters, one a line.
 func (d *Dispatcher) CountersText() string {
 	counters := &d.Counters
 	var text strings.Builder
--- a/internal/routing/discovery.go
+++ b/internal/routing/discovery.go
@@ -19,34 +19,36 @@
 	"spanmux/logic"
 )
 
-// discoveryState is what is known of the list; the desk's lock guards it.
+// discoveryState is what is known of the host list, and the state of the calls to discovery.
+// Dispatcher.mu guards it.
 type discoveryState struct {
-	conn            *transport.DiscoveryConn // to discovery; only the watch calls on it
-	oldConn         *transport.DiscoveryConn // to where discovery was, until it is heard at the new address
+	conn            *transport.DiscoveryConn // used by the watch alone
+	oldConn         *transport.DiscoveryConn // to the previous address of discovery, until the new one answers
 	revision        int64
-	hasList         bool // a list of this discovery is in hand
+	hasList         bool // there is a list from the current address
 	watching        bool
 	idByUID         map[string]logic.HostID
 	uidByID         map[logic.HostID]string
 	addrByID        map[logic.HostID]string
-	drainingBootMS  map[logic.HostID]int64 // those listed that do, with the time of their start
+	drainingBootMS  map[logic.HostID]int64 // start times of the listed hosts that drain
 	random          *rand.Rand
-	backoffTimer    *time.Timer // until a lost call is had again, whatever the module says
-	failureReported bool        // the module was told of a lost call, and is to ask
+	backoffTimer    *time.Timer // until a failed call is repeated, whatever the core decides
+	failureReported bool        // the core was told of a failed call and has not requested the list since
 }
 
+// newDiscoveryState returns the state without a list.
 func newDiscoveryState() discoveryState {
 	return discoveryState{idByUID: map[string]logic.HostID{}, uidByID: map[logic.HostID]string{}, addrByID: map[logic.HostID]string{},
 		drainingBootMS: map[logic.HostID]int64{}}
 }
 
-// RequestHostList begins a watch, as the module asks.
+// RequestHostList starts a watch, at the core's request.
 func (d *Dispatcher) RequestHostList() {
 	d.discovery.failureReported = false
 	d.startListWatch()
 }
 
-// startListWatch begins a watch; one that goes on already brings what there is.
+// startListWatch starts a watch, unless one is running, which receives all changes.
 func (d *Dispatcher) startListWatch() {
 	if !d.discovery.watching {
 		d.discovery.watching = true
@@ -55,9 +57,10 @@
 	}
 }
 
-// changeDiscoveryAddr has the list asked for at another address from now on. The call that is out at the old one may wait for
-// long yet; until the new one is heard, hosts that go by what it brings do go, and nothing else that it brings, nor its end, says
-// anything any more. Versions may not go on there: the first call is for all.
+// changeDiscoveryAddr moves the watch to another address. The call in flight to the old address may
+// last long. Until the new one answers, draining and removal of hosts are still taken from the old
+// one, and nothing else, nor does its failure count. Revisions may not continue at the new address, so
+// its first call requests the whole list.
 func (d *Dispatcher) changeDiscoveryAddr(addr string) {
 	if addr == d.discovery.conn.Addr {
 		return
@@ -68,6 +71,7 @@
 	d.startListWatch()
 }
 
+// closeOldDiscovery drops the connection to the previous address of discovery.
 func (d *Dispatcher) closeOldDiscovery() {
 	if d.discovery.oldConn != nil {
 		d.afterUnlock(d.discovery.oldConn.Close)
@@ -75,10 +79,11 @@
 	}
 }
 
-// filterList is what is taken of a list that is not simply the next one; it is false where nothing is. Of one from where discovery was
-// before, only what goes. One that is older than what is in hand, as a discovery that has begun anew or lags behind may answer, is
-// not taken: all is asked for. Where that is older too the numbers begin anew; a host that was said to drain, and has not started
-// since, does so still.
+// filterList decides what of a list is applied; it returns false if nothing is. From the previous
+// address of discovery only draining and removal of hosts is kept. A list older than the current one,
+// as a restarted or lagging discovery may send, is not applied, and the whole list is requested. If
+// that is older too, revisions have started anew; then a host that was draining still is, unless it
+// has restarted.
 func (d *Dispatcher) filterList(conn *transport.DiscoveryConn, kind logic.ListKind, list *protocol.HostList) bool {
 	older := list.Revision < d.discovery.revision
 	switch {
@@ -105,16 +110,19 @@
 	return true
 }
 
-// listBackoff is how long after its loss a call is had again that had been out for so long; jitter is of [0, 1). It is counted from the call's
-// beginning: a change counts as told 6 s after discovery had it and could be reached, whatever had failed before, so that calls begin no
-// further apart than a silent one takes. Of those that fail in one instant each had begun in its own.
+// listBackoff returns how long after its failure a call is repeated, if it had lasted for elapsed;
+// jitter is in [0, 1). The time counts from the beginning of the call: a change has to be known 6 s
+// after discovery has it and can be reached, whatever failed before, so calls must begin no further
+// apart than a silent one lasts. Calls that fail at one instant have begun at different ones, so
+// repeats don't come at once either.
 func listBackoff(elapsed time.Duration, jitter float64) time.Duration {
 	return max(0, minListBackoff+time.Duration(jitter*float64(maxListBackoff-minListBackoff))-elapsed)
 }
 
-// watchList calls for the list until a call is lost. The next call comes at once, so that the watch goes on. One that fell silent, or was
-// broken off, says nothing against discovery, and what it missed counts as told soon: it is had again at once, and only the next loss is
-// for the module. One that was refused is that already: discovery is down, or has too many callers.
+// watchList requests the list until a call fails. Calls follow each other at once, so that no change
+// is missed. A call that went silent or was broken off says nothing against discovery, and the changes
+// it missed are due soon: it is repeated at once, and only the next failure is reported to the core. A
+// call that was refused is reported immediately: discovery is down, or has too many callers.
 func (d *Dispatcher) watchList(conn *transport.DiscoveryConn) {
 	for retried := false; ; {
 		d.mu.Lock()
@@ -144,16 +152,17 @@
 			kind = logic.ListComplete
 		}
 		d.applyList(conn, kind, list)
-		if (len(list.Hosts) == 0 || list.Revision == revision) && time.Since(calledAt) < minListCallPause { // one that does not wait is not called without a pause
+		if (len(list.Hosts) == 0 || list.Revision == revision) && time.Since(calledAt) < minListCallPause { // a discovery that doesn't hold calls is not called without a pause
 			time.Sleep(minListCallPause)
 		}
 	}
 }
 
-// listCallFailed notes that a call is that had been out for so long, and tells whether the watch is over: the next call is due when the module asks,
-// and after a backoff at the latest. Where there are many gateways the module lets up to half of the time pass for which a gateway need not
-// ask at all, which is longer than a change takes to count as told. Of a list that is pushed what comes at discovery's return counts at once:
-// it is called for all the time.
+// listCallFailed records the failure of a call that had lasted for elapsed, and reports whether the
+// watch stops. If it does, the next call comes when the core requests it, and after a backoff at the
+// latest: with many gateways the core lets up to half of the longest poll interval pass, which is
+// longer than a change may take to be known. A pushed list has to be current as soon as discovery
+// returns, so the watch goes on with calls at short intervals.
 func (d *Dispatcher) listCallFailed(conn *transport.DiscoveryConn, err error, elapsed time.Duration) (stop bool) {
 	pause := time.Duration(0)
 	d.callCore(func(now time.Duration) {
@@ -166,7 +175,7 @@
 			if stop {
 				d.discovery.backoffTimer.Reset(listBackoff(elapsed, d.discovery.random.Float64()))
 			}
-			if stop && !d.discovery.failureReported { // told of each, it would ask once for each: calls that are refused would make ever more
+			if stop && !d.discovery.failureReported { // reported for each failure, the core would request the list for each, and refused calls would multiply
 				d.discovery.failureReported = true
 				d.core.HostListReceived(now, logic.ListFailed, nil)
 			}
@@ -179,16 +188,17 @@
 	return stop
 }
 
-// wasInterrupted tells whether a call was answered by nobody: it fell silent, or its connection ended.
+// wasInterrupted reports whether a call got no answer: it went silent, or its connection ended.
 func wasInterrupted(err error) bool {
 	var opErr *net.OpError
-	if errors.As(err, &opErr) && opErr.Op == "dial" { // nobody is there
+	if errors.As(err, &opErr) && opErr.Op == "dial" { // connection refused or unreachable
 		return false
 	}
 	return errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) ||
 		errors.Is(err, syscall.EPIPE) || protocol.IsTruncated(err)
 }
 
+// fetchList requests the host list once.
 func (d *Dispatcher) fetchList(conn *transport.DiscoveryConn, path string, timeout time.Duration) (list *protocol.HostList, err error) {
 	d.Counters.ListCalls.Add(1)
 	err = conn.RoundTrip(protocol.EncodeGet(path, conn.Addr), timeout, func(r *bufio.Reader) (bool, error) {
@@ -204,7 +214,8 @@
 	return list, err
 }
 
-// applyList hands a list to the module, unless discovery has moved since it was called for.
+// applyList hands a list to the decision core, unless the address of discovery has changed since the
+// call.
 func (d *Dispatcher) applyList(conn *transport.DiscoveryConn, kind logic.ListKind, list *protocol.HostList) {
 	d.callCore(func(now time.Duration) {
 		if !d.filterList(conn, kind, list) {
@@ -238,7 +249,7 @@
 			}
 			hosts = append(hosts, host)
 		}
-		for uid, id := range d.discovery.idByUID { // in any order: those of hosts that are gone are dropped
+		for uid, id := range d.discovery.idByUID { // the order doesn't matter
 			if _, listed := d.discovery.addrByID[id]; !listed {
 				delete(d.discovery.idByUID, uid)
 				delete(d.discovery.uidByID, id)
@@ -249,16 +260,16 @@
 			if kind != logic.ListChanges || len(list.Hosts) > 0 {
 				slog.Info("list", "rev", list.Revision, "whole", kind != logic.ListChanges, "entries", len(list.Hosts))
 			}
-			for target := range targetsBefore { // in any order: they are closed
+			for target := range targetsBefore { // the order doesn't matter
 				if !targetsAfter[target] {
 					d.pool.CloseIdleTo(target)
 				}
 			}
-			if anyDraining { // what such hosts still give may be lost with them
+			if anyDraining { // what such hosts have not sent yet may be lost with them
 				d.interruptStreams()
 			}
 			d.ready.Store(true)
-			if kind == logic.ListCached { // it may be old: hosts in it may be long gone
+			if kind == logic.ListCached { // it may be old, and its hosts long gone
 				time.AfterFunc(freshListTimeout, d.markListReceived)
 			} else {
 				d.markListReceived()
@@ -271,17 +282,19 @@
 	})
 }
 
+// targetOf returns where connections to a host go; the address is empty if it is not known.
 func (s *discoveryState) targetOf(id logic.HostID) transport.Target {
 	return transport.Target{HostID: uint32(id), Addr: s.addrByID[id]}
 }
 
-// acceptsNewHops tells whether a host is listed and does not drain.
+// acceptsNewHops reports whether a host is listed and does not drain.
 func (s *discoveryState) acceptsNewHops(id logic.HostID) bool {
 	_, listed := s.addrByID[id]
 	_, drains := s.drainingBootMS[id]
 	return listed && !drains
 }
 
+// targets returns the targets of all listed hosts.
 func (s *discoveryState) targets() map[transport.Target]bool {
 	all := map[transport.Target]bool{}
 	for id := range s.addrByID {
@@ -290,7 +303,8 @@
 	return all
 }
 
-// hostIDFor is a host's number, from its uid alone: all gateways tell each other of it by that. 0 stands for none.
+// hostIDFor returns the ID of a host, a checksum of its UID alone: gateways name hosts to each other
+// by it. 0 stands for no host. It returns false if another host has the same ID.
 func (s *discoveryState) hostIDFor(uid string) (logic.HostID, bool) {
 	if id, known := s.idByUID[uid]; known {
 		return id, true
--- a/internal/routing/dispatcher.go
+++ b/internal/routing/dispatcher.go
@@ -1,5 +1,6 @@
-// Package routing takes transactions through the gateway: each is taken in, admitted, routed, sent, relayed and
-// booked, a file for each. Decisions are the module's; it is called under one lock, with one clock and one timer.
+// Package routing takes transactions through the gateway: intake, admission, sending to hosts,
+// relaying of responses, and counters. Package logic makes the decisions; it is called under one lock,
+// with one clock and one timer.
 package routing
 
 import (
@@ -15,65 +16,70 @@
 	"spanmux/logic"
 )
 
-// Dispatcher is one gateway between its clients and the hosts.
+// Dispatcher is one gateway between its clients and the hosts. It serializes calls to the decision
+// core and carries out its decisions.
 type Dispatcher struct {
-	Counters               Counters
-	pool                   *transport.Pool
-	listener               *transport.Listener
-	core                   *config.Instance
-	discovery              discoveryState
-	peers                  peerNetwork
-	bodyBudget             atomic.Int64 // bytes left for bodies over the usual size
-	readAheadBudget        atomic.Int64 // bytes left for what is read ahead of slow clients
-	maxReadAheadBudget     int64        // of these, at the start
-	closing                atomic.Bool
-	ready                  atomic.Bool
-	serving                atomic.Bool
-	listReceived           chan struct{}            // closed once a list is in hand
-	markListReceived       func()                   // says that one is
-	sharedListener         bool                     // other processes may take clients off the same listener
-	singleProcessConnLimit int                      // sockets for clients and hosts
-	overlapConnLimit       int                      // the same while another takes clients
-	streams                map[*responseStream]bool // answers under way; guarded by the lock
-	handoverPath           string                   // where answers are handed over to the next process
+	Counters  Counters
+	pool      *transport.Pool
+	listener  *transport.Listener
+	core      *config.Instance
+	discovery discoveryState
+	peers     peerNetwork
+
+	bodyBudget         atomic.Int64 // bytes left for bodies over the usual size
+	readAheadBudget    atomic.Int64 // bytes left for what is read ahead of slow clients
+	maxReadAheadBudget int64        // its initial value
+
+	closing          atomic.Bool
+	ready            atomic.Bool
+	serving          atomic.Bool
+	listReceived     chan struct{} // closed once there is a host list
+	markListReceived func()        // closes listReceived
+
+	sharedListener         bool                     // other processes may accept from the same listener
+	singleProcessConnLimit int                      // connections to clients and hosts while this process is alone
+	overlapConnLimit       int                      // the same while another process accepts clients
+	streams                map[*responseStream]bool // responses being streamed; guarded by mu
+	handoverPath           string                   // socket through which clients are handed over to the next process
 	connLimit              *transport.ConnLimit
-	predecessor            struct { // by the process before this one
+	predecessor            struct { // what the previous process had learned
 		state      logic.LearnedState
-		receivedAt time.Time // when it said so, zero where it did not
+		receivedAt time.Time // zero if it sent nothing
 	}
 
+	// The following fields are guarded by mu; startedAt is set once.
 	mu              sync.Mutex
 	startedAt       time.Time
 	lastTxID        logic.TxID
 	txs             map[logic.TxID]*tx
-	profileCounters map[string]*profileCounters
-	openTraceIDs    map[string]bool // ids, as clients give them, of those that wait for their answer
+	profileCounters map[string]*profileCounters // by profile name
+	openTraceIDs    map[string]bool             // trace IDs, as clients give them, of transactions without a response
 	timer           *time.Timer
-	deferred        []func() // what is to be done outside the lock
-	inCore          bool     // the module is at work
+	deferred        []func() // run once mu is released
+	inCore          bool     // a call to the core is running
 }
 
-// tx is a transaction that has been taken. What is below the line is guarded by the desk's lock.
+// tx is an admitted transaction. The fields below the blank line are guarded by Dispatcher.mu.
 type tx struct {
 	id        logic.TxID
 	request   *protocol.Transaction
 	counters  *profileCounters
 	client    *transport.Client
 	startedAt time.Time
-	pipelined bool          // some of what its client sends next has been read already
-	done      chan struct{} // closed when its answer is written
-
-	bodyWriters     chan *transport.BodyWriter // of a body that is to come yet: what writes it to a host
-	bodyForwarded   bool                       // some of that is gone and can't be sent again
-	bodyReceived    bool                       // all of it has come
-	responseTimeout time.Duration              // for the answer from then on
-	bodyHop         *hop                       // which has it
-	answered        bool                       // it has its final answer, or nobody waits for one
+	pipelined bool          // some of the client's next request has been read
+	done      chan struct{} // closed when its response is written
+
+	bodyWriters     chan *transport.BodyWriter // connected hops that a streamed body can be written to
+	bodyForwarded   bool                       // some of the body was sent and can't be sent again
+	bodyReceived    bool                       // the whole body was received
+	responseTimeout time.Duration              // for the response, from the end of the body on
+	bodyHop         *hop                       // the hop that the body is sent to
+	answered        bool                       // it has its final response, or its client has left
 	hops            []*hop
 	hopsInFlight    int
 }
 
-// isDone tells whether its answer is written.
+// isDone reports whether its response is written.
 func (t *tx) isDone() bool {
 	select {
 	case <-t.done:
@@ -83,7 +89,7 @@
 	}
 }
 
-// NewDispatcher makes a gateway's desk; settings are the module's.
+// NewDispatcher returns a dispatcher for the given settings.
 func NewDispatcher(settings []byte) (*Dispatcher, error) {
 	core, err := config.Parse(settings, defaultMaxListPollInterval)
 	d := &Dispatcher{core: core, txs: map[logic.TxID]*tx{}, openTraceIDs: map[string]bool{}, discovery: newDiscoveryState(),
@@ -98,7 +104,8 @@
 	return d, err
 }
 
-// callCore calls the module under the lock and does afterwards, outside it, what the module wants done.
+// callCore calls the decision core under the lock. What the core wants done is run afterwards, without
+// the lock.
 func (d *Dispatcher) callCore(call func(now time.Duration)) {
 	d.mu.Lock()
 	invariant.Check(!d.inCore, "the module is not called from within")
@@ -113,12 +120,14 @@
 	}
 }
 
-// now is the time on the module's clock.
+// now returns the time on the decision core's clock.
 func (d *Dispatcher) now() time.Duration { return clockOrigin + time.Since(d.startedAt) }
 
+// afterUnlock has do run once mu is released. The caller is within callCore.
 func (d *Dispatcher) afterUnlock(do func()) { d.deferred = append(d.deferred, do) }
 
-// coreClockTime turns the time of a host's start into the module's clock; 0 is long ago, as is all before that clock began.
+// coreClockTime converts the start time of a host to the decision core's clock. 0 stands for long ago,
+// as does any time before that clock's zero.
 func (d *Dispatcher) coreClockTime(bootMS int64) time.Duration {
 	if bootMS <= 0 {
 		return 0
@@ -126,7 +135,8 @@
 	return max(0, clockOrigin+time.UnixMilli(bootMS).Sub(d.startedAt.Round(0)))
 }
 
-// startTransaction hands a transaction to the module, unless its id is that of one that is still open: its effect would happen twice.
+// startTransaction hands a transaction to the decision core, unless its trace ID is that of an open
+// one: its effect would happen twice.
 func (d *Dispatcher) startTransaction(t *tx, profileIndex int, budget time.Duration) (started bool) {
 	d.callCore(func(now time.Duration) {
 		if started = !d.openTraceIDs[t.request.TraceID]; !started {
@@ -143,11 +153,11 @@
 	return started
 }
 
-// markAnswered notes that a transaction has its final answer, or that nobody waits for one.
+// markAnswered records that a transaction has its final response, or that its client has left.
 func (d *Dispatcher) markAnswered(t *tx) {
 	t.answered = true
 	delete(d.openTraceIDs, t.request.TraceID)
-	for _, h := range t.hops { // what no host has yet none needs to have, whether or not what runs may be called off
+	for _, h := range t.hops { // hops not yet written are withdrawn, whether or not running ones may be called off
 		if h.exchange != nil {
 			d.afterUnlock(h.exchange.CancelIfUnwritten)
 		}
@@ -155,7 +165,8 @@
 	d.removeIfFinished(t)
 }
 
-// clientLeft tells the module that a client has closed, if it still waits.
+// clientLeft tells the decision core that a client has closed, if its transaction still waits for a
+// response.
 func (d *Dispatcher) clientLeft(t *tx) (wasWaiting bool) {
 	d.callCore(func(now time.Duration) {
 		if wasWaiting = !t.answered; wasWaiting {
@@ -168,15 +179,18 @@
 	return wasWaiting
 }
 
-// removeIfFinished drops what is over. A transaction that was given up stays while hops of it are out.
+// removeIfFinished removes a transaction that is over. One whose client has left stays while hops of
+// it are in flight.
 func (d *Dispatcher) removeIfFinished(t *tx) {
 	if t.answered && t.hopsInFlight == 0 {
 		delete(d.txs, t.id)
 	}
 }
 
+// SetTimer has the decision core called again after delay; it replaces the previous timer.
 func (d *Dispatcher) SetTimer(delay time.Duration) { d.timer.Reset(delay) }
 
+// Log logs a message of the decision core, within a rate limit.
 func (d *Dispatcher) Log(message string) {
 	if d.Counters.coreLogLimiter.allow() {
 		d.afterUnlock(func() { slog.Info("module", "says", message) })
--- a/internal/routing/handover.go
+++ b/internal/routing/handover.go
@@ -16,48 +16,52 @@
 	"spanmux/logic"
 )
 
+// errHandedOver ends the exchange of a streamed response that was handed over.
 var errHandedOver = errors.New("handed over")
 
-// handoverRecord says how a streamed answer goes on that is handed over to the process that replaces this one; what has been read and not written
-// goes with it. Without a note what is handed over is a message that is not whole.
+// handoverRecord describes a streamed response that is handed over to the process that replaces this
+// one; what was read and not written goes with it. Without a record, what is handed over is an
+// incomplete request. It is encoded as JSON between two versions of the program, so its field names
+// are fixed.
 type handoverRecord struct {
-	Trace                string // its transaction's id, for the log
+	Trace                string // of its transaction, for the log
 	Host                 logic.HostID
 	Body                 protocol.BodyState
 	Framing              protocol.StreamFraming
 	Closing              bool
-	Last                 bool // nothing follows what was read
-	RequestsLearnedState bool `json:"Asks"` // for what has been learnt; nothing is handed over
+	Last                 bool // the host has sent everything
+	RequestsLearnedState bool `json:"Asks"` // asks for the learned state; nothing is handed over
 }
 
-// responseStream is a streamed answer under way from its host to its client.
+// responseStream is a response that is being streamed from a host to a client.
 type responseStream struct {
 	traceID             string
 	startedAt           time.Time // in this process
 	client              *transport.Client
 	hostConn            net.Conn
-	readable            func() bool // the host has given something, or ended
+	readable            func() bool // the host has sent something, or closed
 	hostID              logic.HostID
 	body                *protocol.Body
-	pending             net.Buffers // goes first
-	readAhead           []byte      // then this
-	readAheadReserved   int         // room taken for that
-	receiveBufferRaised bool        // the machine takes in much of what the host gives
-	lastWriteAt         time.Time   // when the client last took something
+	pending             net.Buffers // written first
+	readAhead           []byte      // written after pending
+	readAheadReserved   int         // bytes reserved for readAhead
+	receiveBufferRaised bool        // the receive buffer of hostConn was enlarged
+	lastWriteAt         time.Time   // when the client last read something
 	framing             protocol.StreamFraming
-	closesClient        bool  // the client's connection closes behind it
-	requestComplete     bool  // nothing else is to come on that before it
-	fullyRead           bool  // all of it has been read
-	readErr             error // nothing more comes, though it is not whole
+	closesClient        bool  // the client's connection closes after the response
+	requestComplete     bool  // no input of the client's request is outstanding, and none of its next is read
+	fullyRead           bool  // the whole response was read
+	readErr             error // the response ended early
 }
 
-// forwardStream passes on the rest of a streamed answer, piece by piece, after what is to be sent before it. Where this process ends and another
-// takes clients, that other goes on with it: a client may read for longer than an ending process has.
+// forwardStream writes what is pending of a streamed response, then the rest of it as it comes. When
+// this process shuts down and another accepts clients, the other one continues the response: a client
+// may read for longer than this process has left.
 func (d *Dispatcher) forwardStream(s *responseStream) (handedOver bool, err error) {
 	buf := streamBuffers.Get().(*[streamBufferBytes]byte)
 	defer streamBuffers.Put(buf)
 	defer d.releaseReadAhead(s)
-	mayHandOver := s.requestComplete && d.sharedListener // what still comes of the client's message is not handed over
+	mayHandOver := s.requestComplete && d.sharedListener // the rest of an incomplete request is not handed over
 	d.trackStream(s, true)
 	defer d.trackStream(s, false)
 	s.readable, s.lastWriteAt = transport.ReadableCheck(s.hostConn), time.Now()
@@ -72,7 +76,7 @@
 			}
 		}
 		readsAhead := !s.fullyRead && s.readErr == nil && d.shouldReadAhead(s)
-		// A nudge ends a piece too: this process ends, or hosts drain.
+		// interruptStreams ends a write too: this process shuts down, or hosts drain.
 		if err = s.writePending(readsAhead); err != nil && !(errors.Is(err, transport.ErrWriteTimeout) && time.Since(s.lastWriteAt) < clientStreamIdleTimeout) {
 			return false, err
 		}
@@ -86,7 +90,7 @@
 		case len(s.readAhead) > 0:
 			n := min(len(s.readAhead), streamBufferBytes)
 			s.pending, s.readAhead = net.Buffers{s.readAhead[:n]}, s.readAhead[n:]
-		case s.fullyRead || s.readErr != nil: // the client has all that the host gave
+		case s.fullyRead || s.readErr != nil: // the client has everything that the host sent
 			return false, s.readErr
 		default:
 			s.pending, s.readErr = s.readNext(buf[:])
@@ -94,7 +98,8 @@
 	}
 }
 
-// readNext reads what comes next, as it is to be written; nothing where it is nudged meanwhile.
+// readNext reads the next piece, encoded for the client. It returns nothing if interruptStreams
+// interrupts it.
 func (s *responseStream) readNext(buf []byte) (net.Buffers, error) {
 	deadline := time.Now().Add(hostStreamIdleTimeout)
 	s.hostConn.SetReadDeadline(deadline)
@@ -108,9 +113,11 @@
 	return nil, err
 }
 
-// shouldReadAhead tells whether a host is let get rid of an answer faster than its client takes it. One that drains goes once it has written all, and
-// what its own socket still holds then goes with it, megabytes at times. So as it drains this machine's socket takes in what that holds, which
-// outlives the host, and the end is read ahead besides. Where the length is said that is near only towards the end.
+// shouldReadAhead reports whether to read a response faster than its client does. A draining host
+// leaves once it has written everything, and what its own socket still holds, megabytes at times, is
+// lost with it. So while a host drains, this machine's socket buffers what the host's socket holds,
+// and the end of the response is read ahead besides. Where the length is known, that is done only
+// towards the end.
 func (d *Dispatcher) shouldReadAhead(s *responseStream) bool {
 	remaining, known := s.body.Remaining()
 	if !d.hostDraining(s.hostID) {
@@ -118,12 +125,12 @@
 	}
 	if !s.receiveBufferRaised {
 		s.receiveBufferRaised = true
-		s.hostConn.(*net.TCPConn).SetReadBuffer(drainingHostReceiveBufferBytes) // fails for one that is closed, which shows when it is read
+		s.hostConn.(*net.TCPConn).SetReadBuffer(drainingHostReceiveBufferBytes) // fails if it is closed, which the next read shows
 	}
 	return !known || remaining <= maxDrainingReadAheadBytes
 }
 
-// writePending writes what is unsent, or part of it.
+// writePending writes what is pending, or part of it.
 func (s *responseStream) writePending(short bool) (err error) {
 	before := totalLen(s.pending)
 	if s.pending, err = s.client.WriteStream(s.pending, short); err == nil {
@@ -135,6 +142,7 @@
 	return err
 }
 
+// totalLen returns how many bytes the parts hold.
 func totalLen(parts net.Buffers) (n int) {
 	for _, part := range parts {
 		n += len(part)
@@ -142,10 +150,11 @@
 	return n
 }
 
-// fillReadAhead takes in what a host gives. It waits for nothing. The room for it is its own: that for bodies is taken by clients that are slow
-// to send, just when others are slow to read. Half of it is for answers whose end is known to be near.
+// fillReadAhead reads what a host has sent, without waiting. It has a budget of its own: the one for
+// bodies is used up by clients that send slowly just when others read slowly. Half of it is kept for
+// responses whose end is known to be near.
 func (d *Dispatcher) fillReadAhead(s *responseStream) error {
-	buf := streamBuffers.Get().(*[streamBufferBytes]byte) // what is not sent yet may lie in the other one
+	buf := streamBuffers.Get().(*[streamBufferBytes]byte) // pending may refer to the other buffer
 	defer streamBuffers.Put(buf)
 	if len(s.readAhead) == 0 {
 		d.releaseReadAhead(s)
@@ -162,7 +171,7 @@
 	return nil
 }
 
-// reserveReadAhead takes room for a further piece.
+// reserveReadAhead reserves read-ahead budget for one more piece.
 func (d *Dispatcher) reserveReadAhead(s *responseStream) bool {
 	_, known := s.body.Remaining()
 	minRemaining := int64(0)
@@ -177,20 +186,20 @@
 	return false
 }
 
-// releaseReadAhead gives the room back.
+// releaseReadAhead returns the read-ahead budget.
 func (d *Dispatcher) releaseReadAhead(s *responseStream) {
 	d.readAheadBudget.Add(int64(s.readAheadReserved))
 	s.readAheadReserved = 0
 }
 
-// hostDraining tells whether a host drains, or is gone from the list.
+// hostDraining reports whether a host drains or is no longer listed.
 func (d *Dispatcher) hostDraining(id logic.HostID) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return !d.discovery.acceptsNewHops(id)
 }
 
-// logStreamBroken says what is known of an answer that ended too soon.
+// logStreamBroken logs what is known of a response that ended early.
 func (d *Dispatcher) logStreamBroken(s *responseStream, err error, adopted bool) {
 	if !d.Counters.warningLimiter.allow() {
 		return
@@ -200,7 +209,7 @@
 		"of all", known, "ahead", len(s.readAhead), "drains", d.hostDraining(s.hostID))
 }
 
-// trackStream notes whether a streamed answer is under way.
+// trackStream adds a response to those being streamed, or removes it.
 func (d *Dispatcher) trackStream(s *responseStream, active bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -211,20 +220,23 @@
 	}
 }
 
-// interruptStreams has streams that wait for a client to read, or for a host to go on, look at whether they are to be handed over, or their hosts
-// drain. One that waited for its host ended with its process once.
+// interruptStreams interrupts streams that wait for a client to read or for a host to send, so that
+// they check whether they are to be handed over or their hosts drain. Without it, a stream that waited
+// for its host ended with its process.
 func (d *Dispatcher) interruptStreams() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for s := range d.streams { // in any order: all are
+	for s := range d.streams { // the order doesn't matter
 		s.client.InterruptWrite()
 		s.hostConn.SetReadDeadline(time.Now())
 	}
 }
 
-// ListenForHandover listens at a path for answers that the process before this one can't finish, and is where this one hands over its own.
+// ListenForHandover listens at path for connections that the previous process hands over; this process
+// later hands its own over at the same path.
 //
-// The process before is asked first for what it has learnt: one that begins by guesses rolls back what hosts could do.
+// The previous process is first asked for its learned state: a process that starts with guesses
+// rejects transactions that the hosts could serve.
 func (d *Dispatcher) ListenForHandover(path string) error {
 	query, err := json.Marshal(handoverRecord{RequestsLearnedState: true})
 	invariant.Check(err == nil, "a note can be written")
@@ -240,8 +252,8 @@
 	return nil
 }
 
-// handOverOrReject ends with a message that is not whole as this process ends, and of which no host has anything: the next process hears it out, or
-// its client is told at once to come again.
+// handOverOrReject handles an incomplete request at shutdown of which no host has anything: the next
+// process receives the rest, or the client is told to retry.
 func (d *Dispatcher) handOverOrReject(c *transport.Client) {
 	if !d.handOver(c) {
 		d.Counters.RejectedBeforeAdmission.Add(1)
@@ -249,7 +261,7 @@
 	}
 }
 
-// handOver hands a client over with what has come of its message.
+// handOver hands a client over with what was received of its request.
 func (d *Dispatcher) handOver(c *transport.Client) (handedOver bool) {
 	received, complete := c.Retained()
 	if handedOver = complete && d.sharedListener && transport.HandOverClient(d.handoverPath, nil, received, c); handedOver {
@@ -258,7 +270,8 @@
 	return handedOver
 }
 
-// adopt goes on with what was handed over: a message that is not whole, or an answer, and then its client.
+// adopt continues what the previous process hands over: an incomplete request, or a response and then
+// its client. The one reply to a record is the learned state, if that was asked for.
 func (d *Dispatcher) adopt(encoded, received []byte, conns []net.Conn) (reply []byte) {
 	if len(encoded) == 0 && len(conns) == 1 {
 		d.Counters.Adopted.Add(1)
@@ -306,7 +319,7 @@
 	return nil
 }
 
-// encodeLearnedState is what this process has learnt, for the next.
+// encodeLearnedState returns what this process has learned, for the next one.
 func (d *Dispatcher) encodeLearnedState() []byte {
 	d.mu.Lock()
 	state := d.core.ExportLearned(d.now())
@@ -316,7 +329,8 @@
 	return text
 }
 
-// importPredecessorState has the module take in what the process before had learnt, of the hosts that are known by now. Under the lock, within the module's turn.
+// importPredecessorState passes the previous process's learned state to the decision core, for the
+// hosts known by now. It is called from within callCore.
 func (d *Dispatcher) importPredecessorState(now time.Duration) {
 	if !d.predecessor.receivedAt.IsZero() {
 		d.core.ImportLearned(now, d.predecessor.state, time.Since(d.predecessor.receivedAt))
--- a/internal/routing/intake.go
+++ b/internal/routing/intake.go
@@ -11,12 +11,12 @@
 	"spanmux/internal/transport"
 )
 
-// serveClient takes in what comes on a client's connection, one transaction after the other.
+// serveClient serves the requests of one client connection, one after the other.
 func (d *Dispatcher) serveClient(c *transport.Client) {
 	var head protocol.Head
 	for {
 		err := c.AwaitRequest()
-		if errors.Is(err, transport.ErrShuttingDown) { // nothing has come, so nothing is owed where it can't be handed over
+		if errors.Is(err, transport.ErrShuttingDown) { // nothing was received, so no response is needed if handing over fails
 			d.handOver(c)
 		}
 		if err != nil || !d.serveRequest(c, &head) {
@@ -25,7 +25,7 @@
 	}
 }
 
-// serveRequest takes in one message; it is false where the connection ends.
+// serveRequest serves one request. It returns false if the connection ends.
 func (d *Dispatcher) serveRequest(c *transport.Client, head *protocol.Head) bool {
 	reserved := 0
 	defer func() { d.bodyBudget.Add(int64(reserved)) }()
@@ -46,7 +46,7 @@
 		return false
 	case !c.MarkActive():
 		return false
-	case c.PeerClosed(): // while it waited behind another, or to be accepted
+	case c.PeerClosed(): // while the request waited behind another one, or to be accepted
 		d.Counters.ClientLeftBeforeAdmission.Add(1)
 		return false
 	case request.GatewayPath != "":
@@ -61,8 +61,8 @@
 	if !d.admit(t) || request.RemainingBody != nil && !d.forwardBody(t) {
 		return false
 	}
-	// While hops are out the connection is watched, as its end is all that a client that leaves says. The
-	// answer is written by whoever has it.
+	// While hops are in flight the connection is watched, as a client that leaves only closes it. respond
+	// writes the response.
 	if c.WatchForClose(t.isDone) != nil {
 		if !d.clientLeft(t) {
 			d.cancelStream(t)
@@ -73,7 +73,7 @@
 	return true
 }
 
-// respondInvalid answers what can't be understood; the connection can't be read on.
+// respondInvalid answers an invalid request; the connection can't be used any more.
 func (d *Dispatcher) respondInvalid(c *transport.Client, err error) {
 	httpErr := protocol.AsHTTPError(err)
 	if httpErr == nil {
@@ -86,7 +86,7 @@
 	c.WriteFinal(protocol.TextResponse(httpErr.Status, httpErr.Text+"\n", 0, true))
 }
 
-// serveGatewayPath answers a call to the gateway itself.
+// serveGatewayPath answers a request for a path of the gateway itself.
 func (d *Dispatcher) serveGatewayPath(c *transport.Client, request *protocol.Transaction) error {
 	status, text := 404, "not here\n"
 	switch request.GatewayPath {
@@ -100,7 +100,7 @@
 	return c.Write(withoutBody(request, protocol.TextResponse(status, text, 0, request.Close)))
 }
 
-// withoutBody leaves out the body of an answer to one that asked for the head alone.
+// withoutBody drops the body of a response to a HEAD request.
 func withoutBody(request *protocol.Transaction, response net.Buffers) net.Buffers {
 	if request.HeadOnly {
 		return response[:min(len(response), 2)]
--- a/internal/routing/peers.go
+++ b/internal/routing/peers.go
@@ -11,16 +11,16 @@
 	"spanmux/logic"
 )
 
-// peerNetwork are the ways to the other gateways.
+// peerNetwork holds the socket and addresses for peer messages.
 type peerNetwork struct {
 	socket        *transport.DatagramSocket
-	addrs         []netip.AddrPort // by number
-	otherAddrs    []netip.AddrPort // without the own one
-	broadcastAddr netip.AddrPort   // reaches all others at once, where there is one
+	addrs         []netip.AddrPort // by index
+	otherAddrs    []netip.AddrPort // without this gateway's
+	broadcastAddr netip.AddrPort   // reaches all other gateways at once, if valid
 	indexByAddr   map[netip.AddrPort]int
 }
 
-// SendPeerMessage sends datagrams to one gateway or, with -1, to all others.
+// SendPeerMessage sends entries to one gateway or, with -1, to all others.
 func (d *Dispatcher) SendPeerMessage(gatewayIndex int, entries []logic.PeerEntry) {
 	if d.peers.socket == nil {
 		return
@@ -42,7 +42,7 @@
 	}
 }
 
-// countEntries is how many of what is told are of a kind.
+// countEntries returns how many entries are of a kind.
 func countEntries(entries []logic.PeerEntry, kind logic.PeerEntryKind) (n int64) {
 	for _, entry := range entries {
 		if entry.Kind == kind {
@@ -52,6 +52,7 @@
 	return n
 }
 
+// sendDatagram sends one peer message; a failure is counted and logged.
 func (d *Dispatcher) sendDatagram(socket *transport.DatagramSocket, addr netip.AddrPort, msg []byte) {
 	if err := socket.Send(addr, msg); err != nil {
 		d.Counters.PeerMessagesUnsent.Add(1)
@@ -61,7 +62,7 @@
 	}
 }
 
-// datagramReceived takes what another gateway tells.
+// datagramReceived handles a datagram from a peer gateway.
 func (d *Dispatcher) datagramReceived(addr netip.AddrPort, msg []byte) {
 	d.mu.Lock()
 	gatewayIndex, known := d.peers.indexByAddr[addr]
--- a/internal/routing/relay.go
+++ b/internal/routing/relay.go
@@ -12,36 +12,37 @@
 	"spanmux/logic"
 )
 
+// outcomeOf maps the outcome of an exchange without a response to that of its hop.
 var outcomeOf = map[transport.Outcome]logic.HopOutcome{
 	transport.OutcomeConnectFailed: logic.HopNoConnection, transport.OutcomeNotWritten: logic.HopNoConnection, transport.OutcomeBroken: logic.HopConnectionBroken,
 	transport.OutcomeTimedOut: logic.HopTimedOut, transport.OutcomeCancelled: logic.HopCalledOff, transport.OutcomeWithdrawn: logic.HopNoConnection,
 }
 
-// outcome is how a hop ended, for the module.
+// outcome returns how a hop ended, in the decision core's terms.
 func (h *hop) outcome(exchangeOutcome transport.Outcome) logic.HopOutcome {
 	switch {
 	case exchangeOutcome != transport.OutcomeAnswered:
 		return outcomeOf[exchangeOutcome]
-	case h.response.Status == 200 && h.fullyWritten: // else it was made for another, as no host begins before the last byte
+	case h.response.Status == 200 && h.fullyWritten: // otherwise it belongs to another request: hosts start work with the last byte
 		return logic.HopCommitted
 	case h.response.Declined:
 		return logic.HopNotSent
-	case h.response.NeverRan || !h.fullyWritten: // a host begins with the last byte
+	case h.response.NeverRan || !h.fullyWritten: // a host starts work with the last byte
 		return logic.HopHostFull
 	}
 	return logic.HopError
 }
 
-// hopEnded tells the module how a hop ended; the first that commits is the transaction's final answer. One that its host
-// declines would be declined by all: that is final too, and says nothing against the host. Counted as errors, what bad
-// clients send would open the breakers of good hosts.
+// hopEnded tells the decision core how a hop ended. The first committed hop is the transaction's final
+// response. A request that its host declines would be declined by all: that is final too, and says
+// nothing against the host. Counted as errors, invalid requests would open the breakers of good hosts.
 func (d *Dispatcher) hopEnded(h *hop, exchangeOutcome transport.Outcome) {
 	if exchangeOutcome == transport.OutcomeWithdrawn && !d.stillWanted(h) {
 		d.Counters.HopsWithdrawn.Add(1)
 		d.endUnsentHop(h)
 		return
 	}
-	if exchangeOutcome == transport.OutcomeNoSlot { // taken for a host that is not there it opened the breakers of all good ones
+	if exchangeOutcome == transport.OutcomeNoSlot { // counted as a failed connection it would open the breakers of all good hosts
 		d.Counters.HopsNoSocket.Add(1)
 		d.endUnsentHop(h)
 		return
@@ -53,7 +54,7 @@
 			d.Counters.recordInvalidInput(h.response.LoadErr.Error())
 		}
 	}
-	if h.streamed { // the module knows
+	if h.streamed { // the decision core knows already
 		d.callCore(func(time.Duration) { d.closeIdleIfGone(h.target) })
 		return
 	}
@@ -77,19 +78,21 @@
 	})
 }
 
+// RollBack answers that a transaction had no effect; its client may retry after retryAfter.
 func (d *Dispatcher) RollBack(id logic.TxID, retryAfter time.Duration) {
 	d.respond(d.txs[id], &d.Counters.RolledBack, 503, func(closing bool) net.Buffers {
 		return protocol.TextResponse(503, "rolled back\n", retryAfter, closing)
 	})
 }
 
+// Abandon answers that the outcome of a transaction is unknown.
 func (d *Dispatcher) Abandon(id logic.TxID) {
 	d.respond(d.txs[id], &d.Counters.Abandoned, 504, func(closing bool) net.Buffers {
 		return protocol.TextResponse(504, "abandoned\n", 0, closing)
 	})
 }
 
-// respond is a transaction's one final answer. It is written outside the lock, by whoever has it.
+// respond sends a transaction's one final response. It is written outside the lock.
 func (d *Dispatcher) respond(t *tx, counter *counter, status int, encode func(closing bool) net.Buffers) {
 	invariant.Check(t != nil && !t.answered, "one final answer")
 	if t == nil || t.answered {
@@ -106,7 +109,7 @@
 	})
 }
 
-// responseWritten notes that an answer is written, or as much of it as could be.
+// responseWritten does what follows the writing of a response, or the failure to write it.
 func (d *Dispatcher) responseWritten(t *tx, status int, err error, closing, bodyReceived bool) {
 	if err != nil {
 		d.Counters.ResponsesUnwritten.Add(1)
@@ -116,7 +119,7 @@
 	switch {
 	case err != nil:
 		t.client.Close()
-	case !bodyReceived: // closed with input unread the connection would be reset, and the answer lost with it
+	case !bodyReceived: // closing with unread input would reset the connection and lose the response
 		t.client.CloseWrite()
 	case closing:
 		t.client.Close()
@@ -129,11 +132,12 @@
 
 var (
 	errNoLongerWanted        = errors.New("nobody waits for the answer")
-	errResponseBeforeRequest = errors.New("answered before it had the message") // by its host, or for another
+	errResponseBeforeRequest = errors.New("answered before it had the message") // by its host, or to another request
 )
 
-// streamResponse passes on an answer over the usual size as it comes: its head is sound. From here on the transaction is its host's, and no
-// other hop can answer it; what breaks it off now its client can tell.
+// streamResponse passes on a response over the usual size as it comes; its head is valid. From here on
+// the transaction belongs to this host and no other hop can answer it. A client can tell if the
+// response is broken off.
 func (d *Dispatcher) streamResponse(h *hop, response *protocol.Response, body *protocol.Body) error {
 	t, bodyReceived := h.tx, false
 	if response.Status == 200 && !h.exchange.FullyWritten() {
@@ -167,12 +171,12 @@
 		framing: framing, closesClient: closing, requestComplete: bodyReceived && !t.pipelined}
 	handedOver, err := d.forwardStream(stream)
 	if err != nil {
-		if d.Counters.ResponsesCutOff.Add(1); framing == protocol.FramingClose { // else it would look whole
+		if d.Counters.ResponsesCutOff.Add(1); framing == protocol.FramingClose { // otherwise it would look complete
 			t.client.Reset()
 		}
 		d.logStreamBroken(stream, err, false)
 	}
-	if handedOver { // this process has no more to do with either connection
+	if handedOver { // the next process has both connections
 		d.responseWritten(t, response.Status, nil, true, true)
 		return errHandedOver
 	}
@@ -180,10 +184,11 @@
 	return err
 }
 
-// cancelStream gives up an answer that is passed on as it comes once its client has closed the connection. A host that has fallen silent within
-// the answer would keep its connection, and its place at the host, for hostSilent.
+// cancelStream cancels a response that is being streamed once its client has closed. A host that has
+// gone silent within the response would keep its connection, and its slot at the host, for
+// hostStreamIdleTimeout.
 func (d *Dispatcher) cancelStream(t *tx) {
-	if !t.client.PeerClosed() { // this process has closed it, as the answer was written
+	if !t.client.PeerClosed() { // this process closed it after writing the response
 		return
 	}
 	d.callCore(func(time.Duration) {
--- a/internal/routing/run.go
+++ b/internal/routing/run.go
@@ -19,8 +19,9 @@
 	"spanmux/logic"
 )
 
-// ConfigureListener opens the gateway to clients, with room for so many sockets, those that are used beside clients and hosts among
-// them, and within so many bytes of memory. Where other processes share the listener they share both.
+// ConfigureListener sets the listener for clients and divides sockets and memory. maxSockets includes
+// otherSockets, which are used for neither clients nor hosts. Processes that share the listener share
+// both.
 func (d *Dispatcher) ConfigureListener(ln net.Listener, sharedListener bool, maxSockets, otherSockets int, memoryBytes int64) {
 	memoryBytes, maxSockets = cmp.Or(memoryBytes, defaultMemoryBytes), cmp.Or(maxSockets, defaultMaxSockets)
 	if d.sharedListener = sharedListener; sharedListener {
@@ -41,13 +42,14 @@
 	d.pool = transport.NewPool(d.connLimit, cmp.Or(d.core.ConnectTimeout, defaultConnectTimeout), cmp.Or(d.core.IdleConnTimeout, defaultIdleConnTimeout))
 	d.listener = transport.NewListener(ln, d.connLimit, limit-limit/hostSocketDivisor, overLimit)
 	d.singleProcessConnLimit, d.overlapConnLimit = limit, limitFor(overlapSocketFraction)
-	if sharedListener { // the one before may be ending yet
+	if sharedListener { // the previous process may still be shutting down
 		d.listener.SetRetainBudget(memoryBytes / bodyBudgetDivisor)
 		d.connLimit.SetMax(d.overlapConnLimit)
 	}
 }
 
-// JoinPeers opens the ways to the other gateways. While the address is in use, as the process before this one ends, it is tried again.
+// JoinPeers opens the socket for peer messages. While the previous process still uses the address, it
+// is retried in the background.
 func (d *Dispatcher) JoinPeers(listen string, peers []string, broadcast string) (err error) {
 	network := peerNetwork{indexByAddr: map[netip.AddrPort]int{}}
 	for i, peer := range peers {
@@ -79,6 +81,7 @@
 	return err
 }
 
+// joinWhenAddressFree retries until the previous process has released the address.
 func (d *Dispatcher) joinWhenAddressFree(listen string, network peerNetwork) {
 	for err := error(syscall.EADDRINUSE); err != nil; network.socket, err = transport.ListenDatagrams(listen, len(network.otherAddrs)) {
 		time.Sleep(peerListenRetryDelay)
@@ -89,7 +92,7 @@
 	d.servePeers(network)
 }
 
-// servePeers takes the ways into use.
+// servePeers starts to send and receive peer messages.
 func (d *Dispatcher) servePeers(network peerNetwork) {
 	d.mu.Lock()
 	d.peers = network
@@ -97,10 +100,11 @@
 	go network.socket.Serve(config.MaxPeerMessageBytes, d.datagramReceived)
 }
 
-// Start starts the decisions. Discovery is asked at its address; known is the list as it was last had.
+// Start starts the decision core and the calls to discovery. knownList is the last known host list, or
+// nil.
 func (d *Dispatcher) Start(seed uint64, discoveryAddr string, knownList *protocol.HostList) {
 	d.startedAt, d.discovery.conn = time.Now(), &transport.DiscoveryConn{Addr: discoveryAddr}
-	d.discovery.random = rand.New(rand.NewPCG(seed, uint64(d.core.GatewayIndex))) // gateways that share a seed are not to call in step
+	d.discovery.random = rand.New(rand.NewPCG(seed, uint64(d.core.GatewayIndex))) // so that gateways with one seed don't call at the same time
 	d.discovery.backoffTimer = time.AfterFunc(time.Hour, func() { d.callCore(func(time.Duration) { d.startListWatch() }) })
 	d.discovery.backoffTimer.Stop()
 	d.callCore(func(now time.Duration) {
@@ -114,13 +118,14 @@
 		d.applyList(d.discovery.conn, logic.ListCached, knownList)
 	}
 	d.callCore(func(time.Duration) {
-		if d.core.HostListPushed { // what is pushed counts as told from the first moment
+		if d.core.HostListPushed { // a pushed list has to be known from the first moment
 			d.startListWatch()
 		}
 	})
 }
 
-// Serve takes in clients until Close. Of a listener that is shared nothing is taken before it can be answered.
+// Serve accepts clients until Close. With a shared listener it accepts none before there is a host
+// list.
 func (d *Dispatcher) Serve() {
 	if d.sharedListener {
 		<-d.listReceived
@@ -134,14 +139,14 @@
 	d.listener.Serve(d.serveClient)
 }
 
-// CheckSettings checks settings that are to follow those in force; it changes nothing.
+// CheckSettings checks settings that are to replace the current ones; it changes nothing.
 func (d *Dispatcher) CheckSettings(settings []byte, peerCount int) (*config.SettingsUpdate, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.core.ParseUpdate(settings, peerCount)
 }
 
-// ApplySettings takes settings into force, and discovery's address with them.
+// ApplySettings applies checked settings and the address of discovery.
 func (d *Dispatcher) ApplySettings(update *config.SettingsUpdate, discoveryAddr string) {
 	d.callCore(func(now time.Duration) {
 		d.core.ApplyUpdate(now, update)
@@ -150,15 +155,16 @@
 	})
 }
 
-// Ready tells whether this process takes clients.
+// Ready reports whether this process accepts clients.
 func (d *Dispatcher) Ready() bool {
 	return d.ready.Load() && d.serving.Load() && !d.closesClientConns()
 }
 
-// closesClientConns tells whether answers are to say that their connection closes.
+// closesClientConns reports whether responses announce that the connection closes.
 func (d *Dispatcher) closesClientConns() bool { return d.closing.Load() || d.listener.Draining() }
 
-// SetDraining sends clients away, or takes them again; once the gateway ends it takes none.
+// SetDraining sends clients away, or accepts them again. It returns false if the gateway shuts down
+// and can't accept them again.
 func (d *Dispatcher) SetDraining(draining bool) bool {
 	if d.closing.Load() {
 		return draining
@@ -168,13 +174,14 @@
 	return true
 }
 
-// Close ends the gateway: connections go on coming for a while, or to another process, then all that is taken is answered.
+// Close shuts the gateway down: connections are accepted for a while, or by another process, then all
+// open transactions are answered.
 func (d *Dispatcher) Close() {
 	began := time.Now()
 	d.closing.Store(true)
 	if d.sharedListener {
 		d.mu.Lock()
-		if d.peers.socket != nil { // the other process waits for it
+		if d.peers.socket != nil { // the next process waits for its address
 			d.peers.socket.Close()
 			d.peers.socket = nil
 		}
@@ -206,7 +213,8 @@
 	}
 }
 
-// abandonOpen answers what is open as the process is about to be ended: what may have run yet, and has no answer then, would be lost.
+// abandonOpen answers open transactions with abandoned as the process is about to end: they may have
+// run, and without a response their outcome would be lost.
 func (d *Dispatcher) abandonOpen() {
 	d.callCore(func(now time.Duration) {
 		for _, id := range slices.Sorted(maps.Keys(d.txs)) {
--- a/internal/routing/send.go
+++ b/internal/routing/send.go
@@ -14,7 +14,7 @@
 	"spanmux/logic"
 )
 
-// hop is one sending of a transaction.
+// hop is one attempt to send a transaction to a host.
 type hop struct {
 	tx           *tx
 	hostID       logic.HostID
@@ -23,18 +23,18 @@
 	sentAt       time.Time
 	exchange     *transport.Exchange
 	response     *protocol.Response
-	fullyWritten bool // all of it was written
-	streamed     bool // its answer has begun to go on, and the module knows
+	fullyWritten bool // the request was written completely
+	streamed     bool // its response is being streamed, and the core has been told
 }
 
-// SendHop sends the transaction. A host whose address is not known can't be reached.
+// SendHop sends the transaction to a host. A host without a known address can't be reached.
 func (d *Dispatcher) SendHop(id logic.TxID, hostID logic.HostID, timeout time.Duration) {
 	t := d.txs[id]
 	h := &hop{tx: t, hostID: hostID, target: d.discovery.targetOf(hostID), index: len(t.hops), sentAt: time.Now()}
 	t.hops = append(t.hops, h)
 	t.hopsInFlight++
 	deadline := h.sentAt.Add(timeout)
-	if t.bodyForwarded { // what has gone of its body is gone
+	if t.bodyForwarded { // the part of the body that was sent can't be sent again
 		d.afterUnlock(func() { d.endUnsentHop(h) })
 		return
 	}
@@ -63,15 +63,16 @@
 	d.startExchange(h.target, h.exchange, len(t.request.Body) > protocol.MaxBufferedBodyBytes)
 }
 
-// stillWanted tells whether a hop is still to be sent: somebody waits for its transaction, and its host takes what is new. A connection may
-// be long in coming up; by then its client may have gone, or the grace of a drain be over.
+// stillWanted reports whether a hop is still to be sent: its client waits and its host accepts new
+// hops. A connection may take long to come up; by then the client may have left, or the grace period
+// of a drain be over.
 func (d *Dispatcher) stillWanted(h *hop) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return !h.tx.answered && d.discovery.acceptsNewHops(h.hostID)
 }
 
-// endUnsentHop ends a hop that can't be sent; it never ran, and says nothing of its host.
+// endUnsentHop ends a hop that can't be sent. It never ran, and says nothing about its host.
 func (d *Dispatcher) endUnsentHop(h *hop) {
 	d.callCore(func(now time.Duration) {
 		h.tx.hopsInFlight--
@@ -80,7 +81,8 @@
 	})
 }
 
-// offerBodyWriter has the rest of a body written to the host whose connection is up, unless some of it has gone to another.
+// offerBodyWriter offers the connection of a hop to forwardBody for the rest of the body. It returns
+// false if part of the body has gone to another host.
 func (d *Dispatcher) offerBodyWriter(h *hop, writer *transport.BodyWriter, timeout time.Duration) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -92,18 +94,19 @@
 		h.tx.responseTimeout, h.tx.bodyHop = timeout, h
 		h.tx.client.Wake()
 		return true
-	default: // it has room for all hops that settings allow within reason
+	default: // the buffer holds all hops that sensible settings allow
 		return false
 	}
 }
 
-// earlyBody is what has been read of a body whose host is not there yet.
+// earlyBody holds what was read of a body before its host was connected.
 type earlyBody struct {
 	chunks [][]byte
-	err    error // behind these: io.EOF is the body's proper end
+	err    error // follows the chunks; io.EOF is the body's proper end
 }
 
-// next gives the next piece, and its end with the last one; it is false where there is none.
+// next copies the next chunk to buf, and returns the end of the body with the last one. ok is false if
+// there is nothing.
 func (e *earlyBody) next(buf []byte) (n int, err error, ok bool) {
 	if ok = len(e.chunks) > 0 || e.err != nil; len(e.chunks) > 0 {
 		n = copy(buf, e.chunks[0])
@@ -115,8 +118,8 @@
 	return n, err, ok
 }
 
-// readEarlyBody reads a body while its host is not there, as long as there is room: without that the client's end would be seen by nobody that
-// stands behind more than a socket holds.
+// readEarlyBody reads a body before its host is connected, as long as the buffer budget allows.
+// Otherwise the end of a client would go unnoticed that has sent more than a socket holds.
 func (d *Dispatcher) readEarlyBody(t *tx, body *earlyBody, buf []byte, stop func() bool) {
 	for body.err == nil && len(body.chunks) < maxEarlyBodyBytes/streamBufferBytes && !stop() && d.reserveBodyBudget(streamBufferBytes) {
 		n, err := t.client.ReadWhileWaiting(stop, func() (int, error) { return t.request.RemainingBody.Read(buf) })
@@ -125,14 +128,14 @@
 		} else {
 			d.bodyBudget.Add(streamBufferBytes)
 		}
-		if errors.Is(err, transport.ErrShuttingDown) { // it says so again once its host is there
+		if errors.Is(err, transport.ErrShuttingDown) { // it is returned again once the host is connected
 			return
 		}
 		body.err = err
 	}
 }
 
-// forwardBody passes on the rest of a body as it comes; it is false where the connection ends.
+// forwardBody streams the rest of a body to the host. It returns false if the connection ends.
 func (d *Dispatcher) forwardBody(t *tx) bool {
 	buf := streamBuffers.Get().(*[streamBufferBytes]byte)
 	defer streamBuffers.Put(buf)
@@ -153,12 +156,12 @@
 			}
 			select {
 			case writer = <-t.bodyWriters:
-			default: // it has its answer
+			default: // the transaction has its response
 				t.client.DiscardInput()
 				return false
 			}
 			d.mu.Lock()
-			for len(t.bodyWriters) > 0 { // the hop that is out is the last one
+			for len(t.bodyWriters) > 0 { // only the last hop is in flight
 				writer = <-t.bodyWriters
 			}
 			t.bodyForwarded = true
@@ -170,7 +173,7 @@
 		} else if !buffered {
 			n, err = t.request.RemainingBody.Read(buf[:])
 		}
-		if errors.Is(err, transport.ErrShuttingDown) { // its host has not all of it, and never has
+		if errors.Is(err, transport.ErrShuttingDown) { // the host never receives all of it
 			writer.Abort()
 			<-t.done
 			t.client.DiscardInput()
@@ -192,9 +195,9 @@
 			case errors.Is(err, transport.ErrUnwanted):
 				return d.abortBody(t, nil)
 			case err != nil:
-				<-t.done // nothing can be sent again
+				<-t.done // the body can't be sent again
 			}
-			if alreadyAnswered { // the answer went before, and said that the connection closes
+			if alreadyAnswered { // the response preceded the end of the body and said that the connection closes
 				<-t.done
 			}
 			return !alreadyAnswered
@@ -215,7 +218,7 @@
 	}
 }
 
-// abortBody ends with a body that does not come to its end: its client has left, or what it sends makes no sense.
+// abortBody handles a body that ends early: its client has left, or has sent something invalid.
 func (d *Dispatcher) abortBody(t *tx, err error) bool {
 	if d.clientLeft(t) {
 		if err != nil {
@@ -227,10 +230,12 @@
 	return false
 }
 
+// streamBuffers are shared by streamed requests and responses.
 var streamBuffers = sync.Pool{New: func() any { return new([streamBufferBytes]byte) }}
 
-// startExchange begins an exchange with a host once the lock is left. A long message may wait for its host to take it, and whoever is here then
-// has others to see to: the module's timer, or what gateways tell.
+// startExchange starts an exchange with a host once the lock is released. A long message may wait
+// until its host reads it, so it gets a goroutine: the caller may be the timer or the receiver of peer
+// messages, and has other work.
 func (d *Dispatcher) startExchange(target transport.Target, exchange *transport.Exchange, long bool) {
 	d.afterUnlock(func() {
 		if target.Addr == "" {
@@ -243,8 +248,8 @@
 	})
 }
 
-// reserveBodyBudget takes room for a body over the usual size that is held whole like others: many at once, sent slowly by their clients,
-// would take all memory.
+// reserveBodyBudget reserves memory for a body over the usual size that is held whole. Without a
+// budget, many such bodies sent slowly by their clients would take all memory.
 func (d *Dispatcher) reserveBodyBudget(bytes int) bool {
 	if d.bodyBudget.Add(-int64(bytes)) >= 0 {
 		return true
@@ -253,24 +258,28 @@
 	return false
 }
 
+// CallOff cancels a hop.
 func (d *Dispatcher) CallOff(id logic.TxID, index int) {
-	if h := d.txs[id].hops[index]; h.exchange != nil { // else it was never sent
+	if h := d.txs[id].hops[index]; h.exchange != nil { // otherwise it was never sent
 		d.afterUnlock(h.exchange.Cancel)
 	}
 }
 
-// closeIdleIfGone closes what is idle to a host that has gone from the list: what was out there as that was told has just fallen idle.
+// closeIdleIfGone closes idle connections to a host that is no longer listed: one that was in use when
+// the host was removed may have become idle just now.
 func (d *Dispatcher) closeIdleIfGone(target transport.Target) {
 	if d.discovery.targetOf(logic.HostID(target.HostID)) != target {
 		d.afterUnlock(func() { d.pool.CloseIdleTo(target) })
 	}
 }
 
+// CloseIdleConnections closes the idle connections to a host.
 func (d *Dispatcher) CloseIdleConnections(hostID logic.HostID) {
 	target := d.discovery.targetOf(hostID)
 	d.afterUnlock(func() { d.pool.CloseIdleTo(target) })
 }
 
+// Probe asks a host for a load report.
 func (d *Dispatcher) Probe(hostID logic.HostID) {
 	d.Counters.Probes.Add(1)
 	load, reported := logic.NoLoadReport, false
