--- /dev/null
+++ b/internal/routing/intake.go
@@ -0,0 +1,109 @@
+package routing
+
+import (
+	"errors"
+	"io"
+	"log/slog"
+	"net"
+	"time"
+
+	"spanmux/internal/protocol"
+	"spanmux/internal/transport"
+)
+
+// serveClient serves the requests of one client connection, one after the other.
+func (d *Dispatcher) serveClient(c *transport.Client) {
+	var head protocol.Head
+	for {
+		err := c.AwaitRequest()
+		if errors.Is(err, transport.ErrShuttingDown) { // nothing was received, so no response is needed if handing over fails
+			d.handOver(c)
+		}
+		if err != nil || !d.serveRequest(c, &head) {
+			return
+		}
+	}
+}
+
+// serveRequest serves one request. It returns false if the connection ends.
+func (d *Dispatcher) serveRequest(c *transport.Client, head *protocol.Head) bool {
+	reserved := 0
+	defer func() { d.bodyBudget.Add(int64(reserved)) }()
+	request, err := protocol.ReadTransaction(c.Reader, head, func() error { return c.Write(net.Buffers{protocol.ContinueResponse}) },
+		func(bytes int) bool {
+			if !d.reserveBodyBudget(bytes) {
+				return false
+			}
+			reserved += bytes
+			return true
+		})
+	switch {
+	case errors.Is(err, transport.ErrShuttingDown):
+		d.handOverOrReject(c)
+		return false
+	case err != nil:
+		d.respondInvalid(c, err)
+		return false
+	case !c.MarkActive():
+		return false
+	case c.PeerClosed(): // while the request waited behind another one, or to be accepted
+		d.Counters.ClientLeftBeforeAdmission.Add(1)
+		return false
+	case request.GatewayPath != "":
+		request.Close = request.Close || d.closesClientConns() || request.RemainingBody != nil
+		return d.serveGatewayPath(c, request) == nil && !request.Close && !c.OverLimit
+	}
+	t := &tx{request: request, client: c, startedAt: time.Now(), done: make(chan struct{}),
+		pipelined: c.Reader.Buffered() > 0}
+	if request.RemainingBody != nil {
+		t.bodyWriters = make(chan *transport.BodyWriter, maxBodyWritersPerTransaction)
+	}
+	if !d.admit(t) || request.RemainingBody != nil && !d.forwardBody(t) {
+		return false
+	}
+	// While hops are in flight the connection is watched, as a client that leaves only closes it. respond
+	// writes the response.
+	if c.WatchForClose(t.isDone) != nil {
+		if !d.clientLeft(t) {
+			d.cancelStream(t)
+			<-t.done
+		}
+		return false
+	}
+	return true
+}
+
+// respondInvalid answers an invalid request; the connection can't be used any more.
+func (d *Dispatcher) respondInvalid(c *transport.Client, err error) {
+	httpErr := protocol.AsHTTPError(err)
+	if httpErr == nil {
+		if !errors.Is(err, io.EOF) {
+			d.Counters.ClientReadErrors.Add(1)
+		}
+		return
+	}
+	d.Counters.recordInvalidInput(httpErr.Text, slog.Int("status", httpErr.Status))
+	c.WriteFinal(protocol.TextResponse(httpErr.Status, httpErr.Text+"\n", 0, true))
+}
+
+// serveGatewayPath answers a request for a path of the gateway itself.
+func (d *Dispatcher) serveGatewayPath(c *transport.Client, request *protocol.Transaction) error {
+	status, text := 404, "not here\n"
+	switch request.GatewayPath {
+	case protocol.ReadyPath:
+		if status, text = 503, "not ready\n"; d.Ready() {
+			status, text = 200, "ready\n"
+		}
+	case "/counters":
+		status, text = 200, d.CountersText()
+	}
+	return c.Write(withoutBody(request, protocol.TextResponse(status, text, 0, request.Close)))
+}
+
+// withoutBody drops the body of a response to a HEAD request.
+func withoutBody(request *protocol.Transaction, response net.Buffers) net.Buffers {
+	if request.HeadOnly {
+		return response[:min(len(response), 2)]
+	}
+	return response
+}
