--- a/internal/routing/size_test.go
+++ b/internal/routing/size_test.go
@@ -305,8 +305,8 @@
 		what := before.opened.ExportLearned(now)
 		for i := range what.Hosts {
 			h := &what.Hosts[i]
-			h.Weight, h.Pace, h.Latency = 0.5+float64(i)/largeFleet/3, logic.SmoothedMean{Value: 1.0 / 3, N: 7}, logic.SmoothedMean{Value: 1e9 / 3, N: 1e4 / 3}
-			h.Share, h.Open, h.Cool = 1.0/3, 4*time.Second, 5*time.Second
+			h.Weight, h.ServiceTimeRatio, h.Latency = 0.5+float64(i)/largeFleet/3, logic.SmoothedMean{Value: 1.0 / 3, Samples: 7}, logic.SmoothedMean{Value: 1e9 / 3, Samples: 1e4 / 3}
+			h.ErrorFraction, h.BreakerOpenFor, h.BreakerCooldown = 1.0/3, 4*time.Second, 5*time.Second
 		}
 		before.opened.ImportLearned(now, what, 0)
 	})
@@ -331,7 +331,7 @@
 	}
 	for i := range is.Hosts {
 		a, b := was.Hosts[i], is.Hosts[i]
-		if a.ID != b.ID || a.Weight != b.Weight || a.Pace != b.Pace || a.Latency != b.Latency || a.Share != b.Share || b.Open <= 0 {
+		if a.ID != b.ID || a.Weight != b.Weight || a.ServiceTimeRatio != b.ServiceTimeRatio || a.Latency != b.Latency || a.ErrorFraction != b.ErrorFraction || b.BreakerOpenFor <= 0 {
 			t.Fatalf("host %d: %+v was learnt, %+v is known", i, a, b)
 		}
 	}
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -1093,7 +1093,7 @@
 	}
 	text, err := json.Marshal(before.ExportLearned(before.now))
 	var l logic.LearnedState
-	fmt.Println(err, json.Unmarshal(text, &l), l.Profiles[0].Work.Value < 1e8, l.Hosts[1].Open > 0)
+	fmt.Println(err, json.Unmarshal(text, &l), l.Profiles[0].ServiceTime.Value < 1e8, l.Hosts[1].BreakerOpenFor > 0)
 
 	for _, age := range []time.Duration{10 * ms, 5 * time.Second} {
 		s := start([]logic.Profile{read, payment}, nil)
@@ -1108,7 +1108,7 @@
 		now := s.ExportLearned(s.now)
 		fmt.Println("age", age, "profile:", now.Profiles[0] == l.Profiles[0], "kind:", now.Kinds[0] == l.Kinds[0])
 		for i, h := range now.Hosts {
-			fmt.Println("host", h.ID, "pace:", h.Pace == l.Hosts[i].Pace, "barred:", h.Open > 0)
+			fmt.Println("host", h.ID, "pace:", h.ServiceTimeRatio == l.Hosts[i].ServiceTimeRatio, "barred:", h.BreakerOpenFor > 0)
 		}
 		s.answered(0, 20, 0)
 		own := s.ExportLearned(s.now).Profiles[0]
--- a/logic/state.go
+++ b/logic/state.go
@@ -136,10 +136,10 @@
 }
 
 func (b *Balancer) ExportLearned(now time.Duration) LearnedState {
-	learned := LearnedState{Errs: b.errorFraction.export()}
+	learned := LearnedState{ErrorFraction: b.errorFraction.export()}
 	for i, p := range b.profiles {
 		if !p.Removed && b.serviceTime[i].samples > 0 {
-			learned.Profiles = append(learned.Profiles, LearnedProfile{Name: p.Name, Work: b.serviceTime[i].export(), Slow: b.longTermServiceTime[i].export(), Free: b.minServiceTime[i]})
+			learned.Profiles = append(learned.Profiles, LearnedProfile{Name: p.Name, ServiceTime: b.serviceTime[i].export(), LongTermServiceTime: b.longTermServiceTime[i].export(), MinServiceTimeNs: b.minServiceTime[i]})
 		}
 	}
 	for _, kind := range slices.Sorted(maps.Keys(b.hosts.kinds)) {
@@ -147,10 +147,10 @@
 		learned.Kinds = append(learned.Kinds, LearnedHostKind{kind, stats.slots.export(), stats.serviceTimeRatio.export(), stats.meanInFlight.export(), stats.uncrowdedInFlight.export(), stats.uncrowdedUtilization.export()})
 	}
 	for _, h := range b.hosts.ready {
-		entry := LearnedHost{ID: h.ID, Up: ternary(h.StartedAt == 0, -1, now-h.StartedAt), Weight: h.weight, Pace: h.serviceTimeRatio.export(), Latency: h.latency.export(),
-			Cool: h.hostBreaker.cooldown, Share: h.hostBreaker.errorFraction}
+		entry := LearnedHost{ID: h.ID, Uptime: ternary(h.StartedAt == 0, -1, now-h.StartedAt), Weight: h.weight, ServiceTimeRatio: h.serviceTimeRatio.export(), Latency: h.latency.export(),
+			BreakerCooldown: h.hostBreaker.cooldown, ErrorFraction: h.hostBreaker.errorFraction}
 		if h.hostBreaker.open {
-			entry.Open = max(1, h.hostBreaker.nextTrialAt-now)
+			entry.BreakerOpenFor = max(1, h.hostBreaker.nextTrialAt-now)
 		}
 		learned.Hosts = append(learned.Hosts, entry)
 	}
@@ -163,28 +163,28 @@
 	b.beginCall(now)
 	for _, p := range learned.Profiles {
 		i := slices.IndexFunc(b.profiles, func(entry Profile) bool { return entry.Name == p.Name && !entry.Removed })
-		if i >= 0 && b.serviceTime[i].samples == 0 && p.Work.Value > 0 && p.Free > 0 {
-			b.serviceTime[i], b.longTermServiceTime[i], b.minServiceTime[i], b.previousSamples[i] = p.Work.movingAverage(), p.Slow.movingAverage(), p.Free, p.Work.N
+		if i >= 0 && b.serviceTime[i].samples == 0 && p.ServiceTime.Value > 0 && p.MinServiceTimeNs > 0 {
+			b.serviceTime[i], b.longTermServiceTime[i], b.minServiceTime[i], b.previousSamples[i] = p.ServiceTime.movingAverage(), p.LongTermServiceTime.movingAverage(), p.MinServiceTimeNs, p.ServiceTime.Samples
 		}
 	}
 	for _, entry := range learned.Kinds {
 		if stats := b.hosts.kinds[entry.Kind]; stats != nil && stats.slots.samples == 0 && stats.serviceTimeRatio.samples == 0 {
-			stats.slots, stats.serviceTimeRatio, stats.meanInFlight, stats.uncrowdedInFlight, stats.uncrowdedUtilization = entry.Places.movingAverage(), entry.Pace.movingAverage(), entry.Usual.movingAverage(), entry.Held.movingAverage(), entry.Busy.movingAverage()
+			stats.slots, stats.serviceTimeRatio, stats.meanInFlight, stats.uncrowdedInFlight, stats.uncrowdedUtilization = entry.Slots.movingAverage(), entry.ServiceTimeRatio.movingAverage(), entry.MeanInFlight.movingAverage(), entry.UncrowdedInFlight.movingAverage(), entry.UncrowdedUtilization.movingAverage()
 		}
 	}
 	if age > observationTTL {
 		return
 	}
-	b.errorFraction = learned.Errs.movingAverage()
+	b.errorFraction = learned.ErrorFraction.movingAverage()
 	for _, entry := range learned.Hosts {
 		h := b.hosts.readyHost(entry.ID)
-		if h == nil || h.latency.samples > 0 || entry.Up >= 0 && (now-h.StartedAt-entry.Up-age).Abs() > maxStartTimeSkew || (entry.Up < 0) != (h.StartedAt == 0) {
+		if h == nil || h.latency.samples > 0 || entry.Uptime >= 0 && (now-h.StartedAt-entry.Uptime-age).Abs() > maxStartTimeSkew || (entry.Uptime < 0) != (h.StartedAt == 0) {
 			continue
 		}
-		h.weight, h.serviceTimeRatio, h.latency, h.serviceTimeRatioAt = entry.Weight, entry.Pace.movingAverage(), entry.Latency.movingAverage(), now
-		h.hostBreaker.errorFraction, h.hostBreaker.cooldown = entry.Share, entry.Cool
-		if entry.Open > age {
-			h.hostBreaker.open, h.hostBreaker.nextTrialAt = true, now+entry.Open-age
+		h.weight, h.serviceTimeRatio, h.latency, h.serviceTimeRatioAt = entry.Weight, entry.ServiceTimeRatio.movingAverage(), entry.Latency.movingAverage(), now
+		h.hostBreaker.errorFraction, h.hostBreaker.cooldown = entry.ErrorFraction, entry.BreakerCooldown
+		if entry.BreakerOpenFor > age {
+			h.hostBreaker.open, h.hostBreaker.nextTrialAt = true, now+entry.BreakerOpenFor-age
 		}
 	}
 }
@@ -623,7 +623,7 @@
 
 func (a movingAverage) export() SmoothedMean { return SmoothedMean{a.value, a.samples} }
 
-func (m SmoothedMean) movingAverage() movingAverage { return movingAverage{m.Value, m.N} }
+func (m SmoothedMean) movingAverage() movingAverage { return movingAverage{m.Value, m.Samples} }
 
 // timerQueue are kept in order; of equal ones the first added comes first.
 type timerQueue struct {
--- a/logic/types.go
+++ b/logic/types.go
@@ -46,39 +46,46 @@
 // LearnedState is what one process of a gateway can hand to the next. All spans are of time or from its own moment, as the clocks of two
 // processes differ.
 type LearnedState struct {
-	Profiles []LearnedProfile
-	Kinds    []LearnedHostKind
-	Hosts    []LearnedHost
-	Errs     SmoothedMean // share of errors at all hosts
+	Profiles      []LearnedProfile
+	Kinds         []LearnedHostKind
+	Hosts         []LearnedHost
+	ErrorFraction SmoothedMean `json:"Errs"` // share of errors at all hosts
 }
 
 // SmoothedMean is a smoothed value and how many samples it trusts.
-type SmoothedMean struct{ Value, N float64 }
+type SmoothedMean struct {
+	Value   float64
+	Samples float64 `json:"N"`
+}
 
 // LearnedProfile is a profile's time with a core free and the least of late, nanoseconds.
 type LearnedProfile struct {
-	Name       string
-	Work, Slow SmoothedMean
-	Free       float64
+	Name                string
+	ServiceTime         SmoothedMean `json:"Work"`
+	LongTermServiceTime SmoothedMean `json:"Slow"`
+	MinServiceTimeNs    float64      `json:"Free"`
 }
 
 // LearnedHostKind is what was learnt of the hosts of one kind: hops at work in a full one, hops held and utilisation as cores fill, pace.
 type LearnedHostKind struct {
-	Kind              string
-	Places, Pace      SmoothedMean
-	Usual, Held, Busy SmoothedMean
+	Kind                 string
+	Slots                SmoothedMean `json:"Places"`
+	ServiceTimeRatio     SmoothedMean `json:"Pace"`
+	MeanInFlight         SmoothedMean `json:"Usual"`
+	UncrowdedInFlight    SmoothedMean `json:"Held"`
+	UncrowdedUtilization SmoothedMean `json:"Busy"`
 }
 
 // LearnedHost is what was learnt of one host. Of one that has started since then nothing holds.
 type LearnedHost struct {
-	ID      HostID
-	Up      time.Duration // since it started, below zero where that is not known
-	Weight  float64
-	Pace    SmoothedMean
-	Latency SmoothedMean
-	Open    time.Duration // for which its breaker for all profiles still bars it, 0 where that is closed
-	Cool    time.Duration // of the breaker's cooldown
-	Share   float64       // of errors there
+	ID               HostID
+	Uptime           time.Duration `json:"Up"` // since it started, below zero where that is not known
+	Weight           float64
+	ServiceTimeRatio SmoothedMean `json:"Pace"`
+	Latency          SmoothedMean
+	BreakerOpenFor   time.Duration `json:"Open"`  // for which its breaker for all profiles still bars it, 0 where that is closed
+	BreakerCooldown  time.Duration `json:"Cool"`  // of the breaker's cooldown
+	ErrorFraction    float64       `json:"Share"` // of errors there
 }
 
 // Executor is what a protocol does for the module.
