--- a/logic/state.go
+++ b/logic/state.go
@@ -1,5 +1,8 @@
 package logic
 
+// The state of a Balancer: the host table, health and breakers of each host, tenant shares, retry counts, timers and
+// open transactions, with the methods that keep them. The decisions that are made from it are in logic.go.
+
 import (
 	"cmp"
 	"encoding/binary"
@@ -11,8 +14,8 @@
 	"time"
 )
 
-// Balancer decides for one gateway. Its parts each own their state: the host table, the health of each host,
-// admission, and each transaction's path.
+// Balancer makes the decisions of one gateway and implements Core. Each of its parts owns its state: the host table, the
+// health of each host, tenant admission, and the hops of each transaction. It is not safe for concurrent use.
 type Balancer struct {
 	executor  Executor
 	topology  Topology
@@ -24,58 +27,59 @@
 	drainRule DrainRule
 	hosts     hostTable
 	admission tenantAdmission
-	txs       map[TxID]*tx
+	txs       map[TxID]*tx // open transactions
 
-	now    time.Duration
+	now    time.Duration // time of the current call
 	timers timerQueue
 	random randomSource
 
-	serviceTime         []movingAverage // by profile: a hop's time on a host of pace 1 with a core free, nanoseconds
-	longTermServiceTime []movingAverage // the same over far more answers
-	minServiceTime      []float64       // by profile: the least that has been of late, as when hosts are free
-	previousSamples     []float64       // by profile: answers counted in its time a second ago
+	serviceTime         []movingAverage // by profile: time of a hop, in ns, at a host of ratio 1 with a free core
+	longTermServiceTime []movingAverage // the same, smoothed over far more answers
+	minServiceTime      []float64       // by profile: least recent service time, in ns, as when hosts are idle
+	previousSamples     []float64       // by profile: samples of serviceTime one second ago
 	retryUsage          []retryUsage    // by profile
-	lastAnsweredAt      []time.Duration // by profile: when one was last answered
+	lastAnsweredAt      []time.Duration // by profile: when a hop last succeeded
 	slowReaders         int             // transactions whose clients read their answers slowly
-	errorFraction       movingAverage   // share of errors at all hosts
-	meanServiceTime     movingAverage   // time of the transactions taken, as of work
-	meanRevenue         movingAverage   // of the transactions taken
-	recentArrivals      float64         // transactions taken of late
-	recentAdmitted      float64         // of these, those that went to a host
-	shedThisSecond      int             // rolled back on arrival within the last second
-	arrivalsThisSecond  float64         // transactions taken within the last second
-	arrivalRate         movingAverage   // the same, smoothed
-	linkSuspectedAt     time.Duration   // when a connection last could not be made, or a hop on an unused one had no answer
-	lastStallEnd        time.Duration   // until when this gateway last stood still
-	probeTokens         float64         // that may be sent beside answers
-
-	unsentHosts                []*host        // hosts to tell of soon
-	coordinating               bool           // sums are due to be told
-	pendingPicks               []*pendingPick // those that have no answer yet
-	remotePickLatency          movingAverage  // from an ask to its answer, or until it was given up
-	consecutiveUnansweredPicks int            // asks in a row that had no answer
+	errorFraction       movingAverage   // of the hops at all hosts
+	meanServiceTime     movingAverage   // mean of serviceTime over the transactions received, in ns
+	meanRevenue         movingAverage   // of the transactions received
+	recentArrivals      float64         // transactions received recently, decayed each second
+	recentAdmitted      float64         // those of them that were sent to a host
+	shedThisSecond      int             // transactions rejected on arrival in the current second
+	arrivalsThisSecond  float64         // transactions received in the current second
+	arrivalRate         movingAverage   // transactions per second
+	linkSuspectedAt     time.Duration   // when a new connection last failed, or a hop on an idle one had no answer
+	lastStallEnd        time.Duration   // when the last stall of this process ended
+	probeTokens         float64         // probes that may be sent now to hosts whose reports are old
+
+	unsentHosts                []*host        // hosts whose state is due to be sent to peers
+	coordinating               bool           // has answered a pick request, and sends aggregates since then
+	pendingPicks               []*pendingPick // pick requests without a response yet
+	remotePickLatency          movingAverage  // in ns, from a pick request to its response or timeout
+	consecutiveUnansweredPicks int            // pick requests in a row without a response
 	lastPickRequestAt          time.Duration
 }
 
-// pendingPick is one ask of another gateway for a host.
+// pendingPick is a remote pick request that was sent to a zone coordinator and has no response yet.
 type pendingPick struct {
 	tx      *tx
 	sentAt  time.Duration
-	txWaits bool // its request goes on with the answer
+	txWaits bool // the transaction waits for the response; else it was started without
 }
 
-// New makes the decisions of one gateway; seed is the root of all its chance.
+// New returns the Balancer of one gateway. All of its random choices derive from seed.
 func New(executor Executor, now time.Duration, seed uint64, topology Topology, profiles []Profile, tenants []Tenant,
 	coldRule ColdHostRule, drainRule DrainRule, hopRule HopRule, sources InformationSources, costModel CostModel) *Balancer {
-	b := &Balancer{executor: executor, now: now, topology: topology, profiles: profiles, hopRule: hopRule, sources: sources, costModel: costModel,
-		coldRule: coldRule, drainRule: drainRule,
+	b := &Balancer{executor: executor, now: now, topology: topology, profiles: profiles, hopRule: hopRule, sources: sources,
+		costModel: costModel, coldRule: coldRule, drainRule: drainRule,
 		random: randomSource{seed: crc32.ChecksumIEEE(binary.LittleEndian.AppendUint64(nil, seed))}, txs: map[TxID]*tx{},
 		serviceTime: make([]movingAverage, len(profiles)), longTermServiceTime: make([]movingAverage, len(profiles)),
-		minServiceTime: make([]float64, len(profiles)), previousSamples: make([]float64, len(profiles)), retryUsage: make([]retryUsage, len(profiles)),
+		minServiceTime: make([]float64, len(profiles)), previousSamples: make([]float64, len(profiles)),
+		retryUsage:     make([]retryUsage, len(profiles)),
 		lastAnsweredAt: make([]time.Duration, len(profiles)),
-		errorFraction:  movingAverage{samples: 1 / mediumTermSmoothing}, // none at first
+		errorFraction:  movingAverage{samples: 1 / mediumTermSmoothing}, // starts at 0, with the weight of a settled mean
 		hosts:          hostTable{byID: map[HostID]*host{}, kinds: map[string]*kindStats{}}}
-	if costModel.OpenConnections || b.hasNoLoadInfo() { // those that it keeps to are its own: all gateways' alike would be crowded
+	if costModel.OpenConnections || b.hasNoLoadInfo() { // one subset common to all gateways would be overloaded
 		b.hosts.rankSeed = crc32.ChecksumIEEE(binary.LittleEndian.AppendUint32(nil, uint32(topology.GatewayIndex))) | 1
 	}
 	b.hosts.addGroups(topology)
@@ -93,10 +97,10 @@
 	return b
 }
 
-// Reconfigure takes other rules. What is open holds the profile and the number of hops with which it was taken; a profile that is new
-// begins with what was learnt of the last one of its name.
-func (b *Balancer) Reconfigure(now time.Duration, profiles []Profile, tenants []Tenant, coldRule ColdHostRule, drainRule DrainRule, hopRule HopRule,
-	sources InformationSources, costModel CostModel) {
+// Reconfigure replaces the rules. Open transactions keep the profile and the maximum number of hops with which they were
+// received. A new profile begins with what was learned of the last one of the same name.
+func (b *Balancer) Reconfigure(now time.Duration, profiles []Profile, tenants []Tenant, coldRule ColdHostRule, drainRule DrainRule,
+	hopRule HopRule, sources InformationSources, costModel CostModel) {
 	b.beginCall(now)
 	for i := len(b.profiles); i < len(profiles); i++ {
 		serviceTime := movingAverage{value: initialServiceTimeGoalFraction * float64(profiles[i].ServiceGoal)}
@@ -106,9 +110,11 @@
 				serviceTime, longTerm, minTime, sameNameIndex = b.serviceTime[k], b.longTermServiceTime[k], b.minServiceTime[k], k
 			}
 		}
-		b.serviceTime, b.longTermServiceTime, b.minServiceTime = append(b.serviceTime, serviceTime), append(b.longTermServiceTime, longTerm), append(b.minServiceTime, minTime)
-		b.previousSamples, b.retryUsage, b.lastAnsweredAt = append(b.previousSamples, serviceTime.samples), append(b.retryUsage, retryUsage{}), append(b.lastAnsweredAt, 0)
-		for _, h := range b.hosts.byID { // in any order: each gets its own
+		b.serviceTime, b.longTermServiceTime, b.minServiceTime =
+			append(b.serviceTime, serviceTime), append(b.longTermServiceTime, longTerm), append(b.minServiceTime, minTime)
+		b.previousSamples, b.retryUsage, b.lastAnsweredAt =
+			append(b.previousSamples, serviceTime.samples), append(b.retryUsage, retryUsage{}), append(b.lastAnsweredAt, 0)
+		for _, h := range b.hosts.byID { // the order does not matter: each host gets a breaker of its own
 			k := breaker{}
 			if sameNameIndex >= 0 {
 				k = h.profileBreakers[sameNameIndex]
@@ -117,7 +123,8 @@
 		}
 	}
 	for i := range b.retryUsage {
-		if hopRule.RetryBudget.Window != b.hopRule.RetryBudget.Window { // what was taken before earns nothing; hops made still count
+		// Under a new window the transactions received so far earn no retries, while the retries made still count.
+		if hopRule.RetryBudget.Window != b.hopRule.RetryBudget.Window {
 			b.retryUsage[i].transactions = slidingWindow{}
 		}
 	}
@@ -132,22 +139,27 @@
 		b.admission.tenants = append(b.admission.tenants, carried)
 	}
 	coldRule.PredecessorActiveUntil = b.coldRule.PredecessorActiveUntil
-	b.profiles, b.coldRule, b.drainRule, b.hopRule, b.sources, b.costModel = profiles, coldRule, drainRule, hopRule, sources, costModel
+	b.profiles, b.coldRule, b.drainRule, b.hopRule, b.sources, b.costModel =
+		profiles, coldRule, drainRule, hopRule, sources, costModel
 }
 
+// ExportLearned returns what was learned so far, for ImportLearned of the process that replaces this one.
 func (b *Balancer) ExportLearned(now time.Duration) LearnedState {
 	learned := LearnedState{ErrorFraction: b.errorFraction.export()}
 	for i, p := range b.profiles {
 		if !p.Removed && b.serviceTime[i].samples > 0 {
-			learned.Profiles = append(learned.Profiles, LearnedProfile{Name: p.Name, ServiceTime: b.serviceTime[i].export(), LongTermServiceTime: b.longTermServiceTime[i].export(), MinServiceTimeNs: b.minServiceTime[i]})
+			learned.Profiles = append(learned.Profiles, LearnedProfile{Name: p.Name, ServiceTime: b.serviceTime[i].export(),
+				LongTermServiceTime: b.longTermServiceTime[i].export(), MinServiceTimeNs: b.minServiceTime[i]})
 		}
 	}
 	for _, kind := range slices.Sorted(maps.Keys(b.hosts.kinds)) {
 		stats := b.hosts.kinds[kind]
-		learned.Kinds = append(learned.Kinds, LearnedHostKind{kind, stats.slots.export(), stats.serviceTimeRatio.export(), stats.meanInFlight.export(), stats.uncrowdedInFlight.export(), stats.uncrowdedUtilization.export()})
+		learned.Kinds = append(learned.Kinds, LearnedHostKind{kind, stats.slots.export(), stats.serviceTimeRatio.export(),
+			stats.meanInFlight.export(), stats.uncrowdedInFlight.export(), stats.uncrowdedUtilization.export()})
 	}
 	for _, h := range b.hosts.ready {
-		entry := LearnedHost{ID: h.ID, Uptime: ternary(h.StartedAt == 0, -1, now-h.StartedAt), Weight: h.weight, ServiceTimeRatio: h.serviceTimeRatio.export(), Latency: h.latency.export(),
+		entry := LearnedHost{ID: h.ID, Uptime: ternary(h.StartedAt == 0, -1, now-h.StartedAt), Weight: h.weight,
+			ServiceTimeRatio: h.serviceTimeRatio.export(), Latency: h.latency.export(),
 			BreakerCooldown: h.hostBreaker.cooldown, ErrorFraction: h.hostBreaker.errorFraction}
 		if h.hostBreaker.open {
 			entry.BreakerOpenFor = max(1, h.hostBreaker.nextTrialAt-now)
@@ -157,19 +169,22 @@
 	return learned
 }
 
-// ImportLearned trusts what was learnt of profiles and kinds for as long as it takes; what was learnt of hosts is old after some seconds. What
-// this process has learnt by itself stays.
+// ImportLearned takes over what a process had learned age ago. Values of profiles and host kinds count at any age, those
+// of single hosts no longer than observationTTL. What this process has learned by itself stays.
 func (b *Balancer) ImportLearned(now time.Duration, learned LearnedState, age time.Duration) {
 	b.beginCall(now)
 	for _, p := range learned.Profiles {
 		i := slices.IndexFunc(b.profiles, func(entry Profile) bool { return entry.Name == p.Name && !entry.Removed })
 		if i >= 0 && b.serviceTime[i].samples == 0 && p.ServiceTime.Value > 0 && p.MinServiceTimeNs > 0 {
-			b.serviceTime[i], b.longTermServiceTime[i], b.minServiceTime[i], b.previousSamples[i] = p.ServiceTime.movingAverage(), p.LongTermServiceTime.movingAverage(), p.MinServiceTimeNs, p.ServiceTime.Samples
+			b.serviceTime[i], b.longTermServiceTime[i], b.minServiceTime[i], b.previousSamples[i] =
+				p.ServiceTime.movingAverage(), p.LongTermServiceTime.movingAverage(), p.MinServiceTimeNs, p.ServiceTime.Samples
 		}
 	}
 	for _, entry := range learned.Kinds {
 		if stats := b.hosts.kinds[entry.Kind]; stats != nil && stats.slots.samples == 0 && stats.serviceTimeRatio.samples == 0 {
-			stats.slots, stats.serviceTimeRatio, stats.meanInFlight, stats.uncrowdedInFlight, stats.uncrowdedUtilization = entry.Slots.movingAverage(), entry.ServiceTimeRatio.movingAverage(), entry.MeanInFlight.movingAverage(), entry.UncrowdedInFlight.movingAverage(), entry.UncrowdedUtilization.movingAverage()
+			stats.slots, stats.serviceTimeRatio, stats.meanInFlight, stats.uncrowdedInFlight, stats.uncrowdedUtilization =
+				entry.Slots.movingAverage(), entry.ServiceTimeRatio.movingAverage(), entry.MeanInFlight.movingAverage(),
+				entry.UncrowdedInFlight.movingAverage(), entry.UncrowdedUtilization.movingAverage()
 		}
 	}
 	if age > observationTTL {
@@ -178,10 +193,12 @@
 	b.errorFraction = learned.ErrorFraction.movingAverage()
 	for _, entry := range learned.Hosts {
 		h := b.hosts.readyHost(entry.ID)
-		if h == nil || h.latency.samples > 0 || entry.Uptime >= 0 && (now-h.StartedAt-entry.Uptime-age).Abs() > maxStartTimeSkew || (entry.Uptime < 0) != (h.StartedAt == 0) {
+		if h == nil || h.latency.samples > 0 || entry.Uptime >= 0 && (now-h.StartedAt-entry.Uptime-age).Abs() > maxStartTimeSkew ||
+			(entry.Uptime < 0) != (h.StartedAt == 0) {
 			continue
 		}
-		h.weight, h.serviceTimeRatio, h.latency, h.serviceTimeRatioAt = entry.Weight, entry.ServiceTimeRatio.movingAverage(), entry.Latency.movingAverage(), now
+		h.weight, h.serviceTimeRatio, h.latency, h.serviceTimeRatioAt =
+			entry.Weight, entry.ServiceTimeRatio.movingAverage(), entry.Latency.movingAverage(), now
 		h.hostBreaker.errorFraction, h.hostBreaker.cooldown = entry.ErrorFraction, entry.BreakerCooldown
 		if entry.BreakerOpenFor > age {
 			h.hostBreaker.open, h.hostBreaker.nextTrialAt = true, now+entry.BreakerOpenFor-age
@@ -189,7 +206,8 @@
 	}
 }
 
-// markUnsent has a host told of soon.
+// markUnsent has the state of a host sent to peers, together with all that changes within peerMessageDelay. It accepts
+// nil.
 func (b *Balancer) markUnsent(h *host) {
 	if b.sources.PeersShareInFlight && h != nil && !h.unsent {
 		h.unsent = true
@@ -199,7 +217,7 @@
 	}
 }
 
-// markForResend has what is out at a host told once more, as messages may be lost.
+// markForResend has the in-flight count of a host sent once more, as messages may be lost.
 func (b *Balancer) markForResend(h *host) {
 	if h.ownInFlight > 0 || h.resend {
 		b.markUnsent(h)
@@ -207,7 +225,8 @@
 	h.resend = false
 }
 
-// closeIdleConnections closes the connections to a host that were not used for the given time, where open connections have a price.
+// closeIdleConnections closes the connections to a host that has had no hop for longer than idleFor, where open
+// connections have a cost.
 func (b *Balancer) closeIdleConnections(h *host, idleFor time.Duration) {
 	if b.costModel.OpenConnections && h.lastUsedAt > 0 && h.ownInFlight == 0 && b.now-h.lastUsedAt > idleFor {
 		h.lastUsedAt = 0
@@ -215,7 +234,7 @@
 	}
 }
 
-// logShed logs how many transactions were rolled back on arrival within the last second.
+// logShed logs how many transactions were rejected on arrival within the last second.
 func (b *Balancer) logShed() {
 	if b.shedThisSecond > 0 {
 		b.executor.Log(fmt.Sprintf("last second: %d rolled back on arrival", b.shedThisSecond))
@@ -223,7 +242,7 @@
 	b.shedThisSecond = 0
 }
 
-// callOffAfter calls a hop off after that time, unless it or its transaction has ended by then.
+// callOffAfter calls a hop off after delay, unless it or its transaction has ended by then.
 func (b *Balancer) callOffAfter(delay time.Duration, t *tx, hopIndex int) {
 	b.schedule(b.now+delay, func() {
 		if !t.done && !t.hops[hopIndex].ended {
@@ -232,7 +251,8 @@
 	})
 }
 
-// sendPeerMessages tells all that is new.
+// sendPeerMessages sends what is new about hosts to the coordinators of their zones, or to all gateways where there are
+// none.
 func (b *Balancer) sendPeerMessages() {
 	for _, g := range b.hosts.groups {
 		if entries := unsentEntries(b.unsentHosts, g); len(entries) > 0 && b.coordinatorOf(g) != b.topology.GatewayIndex {
@@ -242,14 +262,18 @@
 	b.unsentHosts = b.unsentHosts[:0]
 }
 
-// sendAggregates tells those that draw for other zones how the hosts of this one stand.
+// sendAggregates sends the coordinators of the other zones, every aggregateInterval, how many hops of all gateways are
+// in flight at the hosts that this gateway picks, and the time that the first profile takes there without queueing. Each
+// message counts as unanswered until an aggregate comes back, so that a coordinator that sends none for observationTTL
+// is given up.
 func (b *Balancer) sendAggregates() {
 	b.schedule(b.now+aggregateInterval, b.sendAggregates)
 	var aggregates []PeerEntry
 	for _, h := range b.hosts.ready {
 		if b.picksFor(h.group) && !h.hostBreaker.open && !b.unresponsive(h) {
 			baseLatency := time.Duration(h.boundedServiceTimeRatio() * b.serviceTime[0].value)
-			aggregates = append(aggregates, PeerEntry{Kind: EntryAggregate, Host: h.ID, InFlight: h.ownInFlight + h.peersInFlight, Latency: baseLatency})
+			aggregates = append(aggregates, PeerEntry{Kind: EntryAggregate, Host: h.ID, InFlight: h.ownInFlight + h.peersInFlight,
+				Latency: baseLatency})
 		}
 	}
 	for _, g := range b.hosts.groups {
@@ -260,10 +284,11 @@
 	}
 }
 
-// Telling. Few gateways tell all others what they have out. One of many hardly meets a host twice: one a zone
-// draws for all, is asked for each transaction and told how hops ended. Unanswered, each draws by itself.
+// Peer messages. Where there are few gateways, each sends all others its in-flight counts. One of many seldom sends two
+// hops to the same host, so one gateway of each zone, the zone coordinator, picks for all: it gets a pick request for
+// each transaction and receives the outcomes of hops. A gateway without a response picks by itself.
 
-// coordinatorOf draws for a zone; it is -1 where each gateway draws for itself.
+// coordinatorOf returns the index of the gateway that picks the hosts of a zone, -1 where each gateway picks by itself.
 func (b *Balancer) coordinatorOf(g *zoneGroup) int {
 	if !b.sources.PeersShareInFlight || b.topology.GatewayCount <= maxIndependentGateways {
 		return -1
@@ -271,13 +296,15 @@
 	return (g.index + g.skippedCoordinators*len(b.hosts.groups)) % b.topology.GatewayCount
 }
 
+// picksFor reports whether this gateway picks the hosts of a zone without a request to another.
 func (b *Balancer) picksFor(g *zoneGroup) bool {
 	return b.coordinatorOf(g) < 0 || b.coordinatorOf(g) == b.topology.GatewayIndex
 }
 
-// requestRemotePick asks for a host. A request waits for the answer only where such answers come soon enough to be worth it; else its gateway picks at
-// once from what it knows, and asks once a second without waiting, to learn whether that has changed. The same where several that draw were
-// silent one after the other: then it is this gateway, or all, that nobody hears.
+// requestRemotePick asks the coordinator of the transaction's zone for a host. The transaction waits for the response
+// only while responses come soon enough to be worth it. Otherwise the gateway picks at once from what it knows, and
+// sends one request per requestRetryDelay without waiting, to learn whether that has changed. It does the same when
+// several coordinators in a row have not responded: then the messages of this gateway, or of all, are probably lost.
 func (b *Balancer) requestRemotePick(t *tx) {
 	txWaits := b.remotePickWorthwhile(t) && b.consecutiveUnansweredPicks < unansweredPicksToSuspectIsolation
 	if !txWaits && b.now-b.lastPickRequestAt < requestRetryDelay {
@@ -287,14 +314,16 @@
 	b.lastPickRequestAt = b.now
 	pending := &pendingPick{t, b.now, txWaits}
 	b.pendingPicks = append(b.pendingPicks, pending)
-	b.executor.SendPeerMessage(b.coordinatorOf(t.homeGroup), []PeerEntry{{Kind: EntryPickRequest, Profile: t.profile, InFlight: t.homeGroup.index}})
+	b.executor.SendPeerMessage(b.coordinatorOf(t.homeGroup),
+		[]PeerEntry{{Kind: EntryPickRequest, Profile: t.profile, InFlight: t.homeGroup.index}})
 	b.schedule(b.now+min(remotePickTimeout, (t.deadline-b.now)/2), func() { b.remotePickTimedOut(pending) })
 	if !txWaits {
 		b.startTransaction(t)
 	}
 }
 
-// remotePickTimedOut gives up an ask unless it was answered.
+// remotePickTimedOut gives up a pick request unless its response has come. After several such requests in a row it turns
+// to the next coordinator.
 func (b *Balancer) remotePickTimedOut(pending *pendingPick) {
 	i := slices.Index(b.pendingPicks, pending)
 	if i < 0 {
@@ -303,12 +332,16 @@
 	b.pendingPicks = slices.Delete(b.pendingPicks, i, i+1)
 	b.remotePickLatency.add(float64(b.now-pending.sentAt), rateSmoothing)
 	home, missed := pending.tx.homeGroup, 1
-	if !pending.txWaits && b.consecutiveUnansweredPicks < unansweredPicksToSuspectIsolation { // it stands for those of its second that were not asked for
+	// One that nobody waits for stands for the transactions of its second that sent no request.
+	if !pending.txWaits && b.consecutiveUnansweredPicks < unansweredPicksToSuspectIsolation {
 		missed = consecutiveFailuresToOpen
 	}
-	home.recordUnanswered(missed, ternary(b.consecutiveUnansweredPicks < unansweredPicksToSuspectIsolation, consecutiveFailuresToOpen, 2*consecutiveFailuresToOpen))
+	home.recordUnanswered(missed, ternary(b.consecutiveUnansweredPicks < unansweredPicksToSuspectIsolation,
+		consecutiveFailuresToOpen, 2*consecutiveFailuresToOpen))
 	before := b.consecutiveUnansweredPicks
-	if b.consecutiveUnansweredPicks += missed; before < unansweredPicksToSuspectIsolation && b.consecutiveUnansweredPicks >= unansweredPicksToSuspectIsolation { // once heard again all are to ask the same one
+	// Back to the first coordinator, so that all gateways turn to the same one once messages get through again.
+	if b.consecutiveUnansweredPicks += missed; before < unansweredPicksToSuspectIsolation &&
+		b.consecutiveUnansweredPicks >= unansweredPicksToSuspectIsolation {
 		home.skippedCoordinators, home.consecutiveUnanswered = 0, 0
 	}
 	if pending.txWaits {
@@ -316,9 +349,11 @@
 	}
 }
 
+// remotePickAnswered ends a pick request. A transaction that waits for it goes to the host picked, is rejected where the
+// coordinator picked none, and is started without the response where that host is no longer usable.
 func (b *Balancer) remotePickAnswered(from int, response PeerEntry, h *host) {
 	b.hosts.ownGroup().consecutiveUnanswered, b.consecutiveUnansweredPicks = 0, 0
-	b.markUnsent(h) // or a host drawn too late, or not taken, would count as out there
+	b.markUnsent(h) // else a pick that came too late, or is not used, would stay counted as in flight
 	pending := b.takePendingPick(response.Profile)
 	if pending == nil {
 		return
@@ -330,7 +365,7 @@
 		b.shedThisSecond++
 		b.finishTransaction(t)
 	case h != nil && t.mayRunOn(h, b.now) && b.withinColdBudget(h, t.profile):
-		if !b.picksFor(h.group) { // else it knows better
+		if !b.picksFor(h.group) { // where it does, its own counts are better
 			h.setPeerInFlight(from, max(0, response.InFlight-h.ownInFlight), b.now)
 		}
 		b.sendHop(t, h)
@@ -339,6 +374,7 @@
 	}
 }
 
+// PeerMessageReceived takes in the entries of a message in their order.
 func (b *Balancer) PeerMessageReceived(now time.Duration, from int, entries []PeerEntry) {
 	b.beginCall(now)
 	for _, entry := range entries {
@@ -351,7 +387,7 @@
 		case entry.Kind == EntryHopEnded:
 			b.recordOutcome(h, float64(max(1, entry.InFlight)), entry.Profile, HopResult{entry.Outcome, entry.Latency, NoLoadReport})
 		default:
-			if entry.Kind == EntryAggregate && entry.Latency > 0 { // no time would make it look infinitely fast
+			if entry.Kind == EntryAggregate && entry.Latency > 0 { // a latency of 0 would make it look infinitely fast
 				h.serviceTimeRatio.value, h.group.consecutiveUnanswered = float64(entry.Latency)/b.serviceTime[entry.Profile].value, 0
 			}
 			h.setPeerInFlight(from, entry.InFlight, now)
@@ -359,11 +395,11 @@
 	}
 }
 
-// answerPickRequest counts the hop as out until more is told.
+// answerPickRequest picks a host for another gateway, and counts the hop as in flight there until a newer count comes.
 func (b *Balancer) answerPickRequest(from int, request PeerEntry) {
 	t := &tx{profile: request.Profile, profileConfig: &b.profiles[request.Profile], homeGroup: b.hosts.groupAt(request.InFlight)}
 	for i := 0; i < b.topology.GatewayCount && !b.picksFor(t.homeGroup); i++ {
-		t.homeGroup.skippedCoordinators++ // asked, as those before it are silent
+		t.homeGroup.skippedCoordinators++ // it is asked because the coordinators before it do not respond
 	}
 	response := PeerEntry{Kind: EntryPickResponse, Profile: request.Profile}
 	if h := b.pickAdmitted(t); h != nil {
@@ -378,7 +414,8 @@
 	}
 }
 
-// takePendingPick takes out the first ask for a profile that waits for its answer, nil where none does.
+// takePendingPick removes and returns the oldest pick request for a profile that has no response, nil where there is
+// none.
 func (b *Balancer) takePendingPick(profile int) *pendingPick {
 	i := slices.IndexFunc(b.pendingPicks, func(pending *pendingPick) bool { return pending.tx.profile == profile })
 	if i < 0 {
@@ -389,41 +426,50 @@
 	return pending
 }
 
-// manyWithoutPeerMessages tells whether this is one of many gateways that learn of each other only by what hosts report.
+// manyWithoutPeerMessages reports whether this is one of many gateways (more than maxIndependentGateways) that exchange
+// no peer messages: they know each other's load only from what hosts report.
 func (b *Balancer) manyWithoutPeerMessages() bool {
 	return !b.sources.PeersShareInFlight && b.topology.GatewayCount > maxIndependentGateways
 }
 
-// hostsReportInFlight tells whether it learns by reports what others have out at each host.
+// hostsReportInFlight reports whether the hops of other gateways at each host are known from the reports of hosts, not
+// from peer messages.
 func (b *Balancer) hostsReportInFlight() bool {
 	return b.sources.ResponsesReportInFlight && !b.sources.PeersShareInFlight
 }
 
-// usesLiveCapacity tells whether it learns by the list what hosts hold, and from nobody else.
+// usesLiveCapacity reports whether the load of hosts is known from the live capacity hints of the host list, and from
+// nothing else.
 func (b *Balancer) usesLiveCapacity() bool {
 	return b.sources.CapacityHints == LiveCapacity && b.manyWithoutPeerMessages()
 }
 
-// hasNoLoadInfo tells whether this is one of many gateways that learn of hosts by the ends of their own hops alone.
+// hasNoLoadInfo reports whether this is one of many gateways that learn about hosts from the outcomes of their own hops
+// alone.
 func (b *Balancer) hasNoLoadInfo() bool {
-	return b.manyWithoutPeerMessages() && !b.sources.ResponsesReportLoad && !b.sources.ProbesReportLoad && b.sources.CapacityHints != LiveCapacity
+	return b.manyWithoutPeerMessages() && !b.sources.ResponsesReportLoad && !b.sources.ProbesReportLoad &&
+		b.sources.CapacityHints != LiveCapacity
 }
 
-// judgesByZone tells whether it judges zones, as it knows too little of any one host in time.
+// judgesByZone reports whether load is judged by zone, as too little is known in time of any one host.
 func (b *Balancer) judgesByZone() bool { return b.usesLiveCapacity() || b.hasNoLoadInfo() }
 
-// fewWithoutReports tells whether this is one of few that learn of hosts by the ends of their own hops, and by a probe now and then.
+// fewWithoutReports reports whether this is one of few gateways that learn about hosts from the outcomes of their own
+// hops and from occasional probes.
 func (b *Balancer) fewWithoutReports() bool {
 	return b.topology.GatewayCount <= maxIndependentGateways && !b.sources.PeersShareInFlight && !b.sources.ResponsesReportLoad
 }
 
-// probesOnly tells whether it learns of each host by the ends of its own hops and by probes now and then, and from nobody else.
+// probesOnly reports whether each host is known from the outcomes of own hops and from occasional probes, and from
+// nothing else.
 func (b *Balancer) probesOnly() bool {
-	return b.sources.ProbesReportLoad && !b.sources.PeersShareInFlight && !b.sources.ResponsesReportLoad && !b.judgesByZone()
+	return b.sources.ProbesReportLoad && !b.sources.PeersShareInFlight && !b.sources.ResponsesReportLoad &&
+		!b.judgesByZone()
 }
 
-// recordLatencyRatio takes in what a hop took, of what it takes at a free host. What a profile feels those that earn less feel alike; of those that
-// earn more it says less, as hosts may see to them first.
+// recordLatencyRatio takes in the latency of a hop, relative to that at an idle host, for the host and its zone. For
+// profiles that earn no more than this one it counts in full. For those that earn more it counts less, as hosts may
+// serve them first.
 func (b *Balancer) recordLatencyRatio(h *host, profile int, result HopResult, hostHangs bool) {
 	ratio := float64(result.Latency) / b.referenceTime(profile)
 	switch result.Outcome {
@@ -439,7 +485,8 @@
 	}
 	h.latencyRatio = b.recentLatencyRatio(h)
 	h.latencyRatio, h.latencyRatioAt = h.latencyRatio+latencyRatioSmoothing*(ratio-h.latencyRatio), b.now
-	if hostHangs || result.Outcome == HopNoConnection { // the one is that host's alone, the other says nothing of hops that have a connection
+	// A hang concerns this host alone, and a failed connection says nothing about hops that have one.
+	if hostHangs || result.Outcome == HopNoConnection {
 		return
 	}
 	g, maxRatio := h.group, b.maxCongestionSample()
@@ -448,7 +495,8 @@
 	}
 	for i := range g.congestion {
 		estimate := &g.congestion[i]
-		smoothing := min(max(1-math.Exp(-float64(b.now-estimate.updatedAt)/float64(congestionTimeConstant)), minCongestionSmoothing), maxCongestionSmoothing)
+		smoothing := min(max(1-math.Exp(-float64(b.now-estimate.updatedAt)/float64(congestionTimeConstant)),
+			minCongestionSmoothing), maxCongestionSmoothing)
 		if b.revenueForWork(i) > b.revenueForWork(profile) {
 			smoothing *= higherRevenueSmoothingFactor
 		} else {
@@ -458,31 +506,37 @@
 	}
 }
 
-// referenceTime is the time that jams are reckoned by: the first guess, a part of the goal, where a profile takes less.
+// referenceTime returns the time in ns that latency ratios refer to: the least service time of the profile, or the
+// initial guess, a fraction of the service goal, where that is more.
 func (b *Balancer) referenceTime(profile int) float64 {
 	return max(b.minServiceTime[profile], initialServiceTimeGoalFraction*float64(b.profiles[profile].ServiceGoal))
 }
 
-// recentLatencyRatio is what hops took at a host of late: one that answers nothing more is forgotten.
+// recentLatencyRatio returns the latency ratio of a host. It goes back to 1 over time, so that a host that answers
+// nothing any more is not avoided for good.
 func (b *Balancer) recentLatencyRatio(h *host) float64 {
 	return 1 + (h.latencyRatio-1)*math.Exp(-float64(b.now-h.latencyRatioAt)/float64(latencyRatioDecayTime))
 }
 
-// congestion is what hops take in a zone for a profile, those that are out yet and late included.
+// congestion returns the latency ratio of hops in a zone as seen by a profile, including hops in flight that are late
+// already.
 func (b *Balancer) congestion(g *zoneGroup, profile int) float64 {
 	value := initialCongestion
 	if profile < len(g.congestion) {
-		value += (g.congestion[profile].value - initialCongestion) * math.Exp(-float64(b.now-g.congestion[profile].updatedAt)/float64(congestionDecayTime))
+		value += (g.congestion[profile].value - initialCongestion) *
+			math.Exp(-float64(b.now-g.congestion[profile].updatedAt)/float64(congestionDecayTime))
 	}
-	if b.usesLiveCapacity() { // where hosts stand still what is out says nothing of the others, and the list tells of them
+	// Where the list shows the load, hops in flight are left out: at stalled hosts they say nothing about the others.
+	if b.usesLiveCapacity() {
 		return value
 	}
 	excess := 0.0
-	for _, t := range b.txs { // in any order: it is a sum
+	for _, t := range b.txs { // the order does not matter for a sum
 		for i := range t.hops {
 			k := &t.hops[i]
 			age := float64(b.now-k.sentAt) / b.referenceTime(t.profile) / lateHopAgeDivisor
-			if !k.ended && k.host.group == g && age > value && b.revenueForWork(t.profile) >= b.revenueForWork(profile) && !b.suspectedOutlier(t.tenant) {
+			if !k.ended && k.host.group == g && age > value &&
+				b.revenueForWork(t.profile) >= b.revenueForWork(profile) && !b.suspectedOutlier(t.tenant) {
 				excess += lateHopCongestionFraction * (age - value)
 			}
 		}
@@ -490,7 +544,8 @@
 	return value + excess
 }
 
-// relativeLoad is what the hosts of a group hold, of that at which their cores are all in use, as far as told; -1 where it is not.
+// relativeLoad returns the hops in flight at a host of a zone, a new one included, as a fraction of its concurrency
+// limit; -1 where hosts do not report that.
 func (b *Balancer) relativeLoad(g *zoneGroup) float64 {
 	if !b.hostsReportInFlight() || len(g.hosts) == 0 || g.hosts[0].kindStats.concurrencyLimit() == 0 {
 		return -1
@@ -498,7 +553,9 @@
 	return (g.reportedInFlight.value + 1) / g.hosts[0].kindStats.concurrencyLimit()
 }
 
-// probeStaleHosts probes a host in reach that has not told lately what it holds: answers are few, or late in a jam.
+// probeStaleHosts probes the hosts of this gateway's subset whose last in-flight report is older than
+// minReportAgeToProbe, as answers are few, or late under congestion. Each call adds probesPerTransaction to the probes
+// that it may send.
 func (b *Balancer) probeStaleHosts() {
 	b.probeTokens = min(b.probeTokens+probesPerTransaction, maxProbeBurst)
 	for _, g := range b.hosts.groups {
@@ -512,9 +569,11 @@
 	}
 }
 
-// recordLoadReport takes a report; to one of many it speaks for the zone.
+// recordLoadReport takes in a load report of a host. It counts for the whole zone too, as one of many gateways gets few
+// from each host.
 func (b *Balancer) recordLoadReport(h *host, load LoadReport) {
-	steady := h.utilizationAt > 0 && b.now-h.utilizationAt < observationTTL && math.Abs(load.Utilization-h.utilization) < maxSteadyUtilizationChange
+	steady := h.utilizationAt > 0 && b.now-h.utilizationAt < observationTTL &&
+		math.Abs(load.Utilization-h.utilization) < maxSteadyUtilizationChange
 	h.recordReportedLoad(load, b.now)
 	if b.hostsReportInFlight() && load.InFlight >= 0 {
 		h.recordReportedInFlight(load, steady, b.now)
@@ -525,14 +584,15 @@
 	}
 }
 
-// beginCall begins a call. Where something should have been done long ago the gateway itself stood still until now.
+// beginCall sets the time of a call from outside. A timer that was due more than stallThreshold ago shows that this
+// process was stalled until now.
 func (b *Balancer) beginCall(now time.Duration) {
 	if b.now = now; len(b.timers.entries) > 0 && now-b.timers.entries[0].at > stallThreshold {
 		b.lastStallEnd = now
 	}
 }
 
-// openHop is a hop that has not ended, nil where none is known.
+// openHop returns a hop that has not ended and its transaction, nil for both where there is none.
 func (b *Balancer) openHop(id TxID, hopIndex int) (*tx, *hop) {
 	t := b.txs[id]
 	if t == nil || hopIndex < 0 || hopIndex >= len(t.hops) || t.hops[hopIndex].ended {
@@ -541,8 +601,8 @@
 	return t, &t.hops[hopIndex]
 }
 
-// HopBodySent counts the hop as out. While the bodies of slow clients came, their hosts looked crowded, or silent, and others were rolled
-// back for it.
+// HopBodySent counts a hop as in flight from now on. If hops counted while the bodies of slow clients arrive, their
+// hosts look overloaded or unresponsive, and other transactions are rejected for it.
 func (b *Balancer) HopBodySent(now time.Duration, id TxID, hopIndex int) {
 	b.beginCall(now)
 	t, k := b.openHop(id, hopIndex)
@@ -557,6 +617,7 @@
 	b.markUnsent(k.host)
 }
 
+// ResponseStarted ends the decisions on a transaction: its final answer is on its way.
 func (b *Balancer) ResponseStarted(now time.Duration, id TxID, _ int) {
 	b.beginCall(now)
 	if t := b.txs[id]; t != nil {
@@ -564,6 +625,7 @@
 	}
 }
 
+// ClientLeft ends a transaction whose answer nobody waits for.
 func (b *Balancer) ClientLeft(now time.Duration, id TxID) {
 	b.beginCall(now)
 	if t := b.txs[id]; t != nil {
@@ -571,9 +633,9 @@
 	}
 }
 
-// AvoidedHosts counts hosts that drain, and those whose breaker for all profiles is open.
+// AvoidedHosts returns how many hosts are draining, or ready with an open breaker for all profiles.
 func (b *Balancer) AvoidedHosts() (count int) {
-	for _, h := range b.hosts.byID { // in any order: it is a sum
+	for _, h := range b.hosts.byID { // the order does not matter for a sum
 		if h.State == HostDraining || h.State == HostReady && h.hostBreaker.open {
 			count++
 		}
@@ -581,20 +643,24 @@
 	return count
 }
 
-// closeIdleIfNotReady gives back what is idle to a host that drains or is gone, where that is a rule: on being told, and
-// as a hop or probe ends there, so that no time has to be kept.
+// closeIdleIfNotReady closes the idle connections to a host that is draining or gone, where drainRule requires it. It is
+// called when the list says so and whenever a hop or probe ends there, so no timer is needed.
 func (b *Balancer) closeIdleIfNotReady(h Host) {
 	if b.drainRule.CloseIdleConnections && h.State != HostReady {
 		b.executor.CloseIdleConnections(h.ID)
 	}
 }
 
-// randomListDelay is a time by chance for a call of the list: in step all would be late together.
+// randomListDelay returns a random delay for the next request for the host list, as gateways in step would all be late
+// together. Its upper bound is baseDelay, or a time for each gateway if that is more, and at most half of the poll
+// interval.
 func (b *Balancer) randomListDelay(baseDelay time.Duration) time.Duration {
-	maxDelay := min(max(baseDelay, time.Duration(b.topology.GatewayCount)*listPollIntervalPerGateway), b.sources.MaxListPollInterval/2)
+	maxDelay := min(max(baseDelay, time.Duration(b.topology.GatewayCount)*listPollIntervalPerGateway),
+		b.sources.MaxListPollInterval/2)
 	return time.Duration(b.random.uniform() * float64(maxDelay))
 }
 
+// ProbeEnded takes in the load that a host reports.
 func (b *Balancer) ProbeEnded(now time.Duration, id HostID, load LoadReport) {
 	b.beginCall(now)
 	switch h := b.hosts.byID[id]; {
@@ -606,6 +672,7 @@
 	}
 }
 
+// ternary returns one of two values. Both are evaluated.
 func ternary[T any](condition bool, ifTrue, ifFalse T) T {
 	if condition {
 		return ifTrue
@@ -613,7 +680,8 @@
 	return ifFalse
 }
 
-// movingAverage is a smoothed value that trusts its first samples.
+// movingAverage is the plain mean of its first samples and an exponentially weighted one from then on: a new sample has
+// the weight smoothing, but at least 1/samples. With a smoothing of 0 it stays the plain mean.
 type movingAverage struct{ value, samples float64 }
 
 func (a *movingAverage) add(sample, smoothing float64) {
@@ -625,12 +693,14 @@
 
 func (m SmoothedMean) movingAverage() movingAverage { return movingAverage{m.Value, m.Samples} }
 
-// timerQueue are kept in order; of equal ones the first added comes first.
+// timerQueue holds functions ordered by the time at which they are due. Of those due at the same time the one added
+// first comes first.
 type timerQueue struct {
 	entries  []timerEntry
-	armedFor time.Duration // when the timer set falls due, 0 for none
+	armedFor time.Duration // when the timer that was set fires, 0 for none
 }
 
+// timerEntry is a function to run at a time.
 type timerEntry struct {
 	at  time.Duration
 	run func()
@@ -644,7 +714,7 @@
 	q.entries = slices.Insert(q.entries, i, timerEntry{at, run})
 }
 
-// popDue takes out the first that is due, nil if none is.
+// popDue removes and returns the first function that is due, nil if none is.
 func (q *timerQueue) popDue(now time.Duration) func() {
 	if q.armedFor <= now {
 		q.armedFor = 0
@@ -657,7 +727,7 @@
 	return run
 }
 
-// arm sets a timer for the first, unless one that is set is soon enough.
+// arm sets a timer for the first function, unless the one that is set fires soon enough.
 func (q *timerQueue) arm(now time.Duration, setTimer func(time.Duration)) {
 	if first := max(q.entries[0].at, now+1); q.armedFor == 0 || first < q.armedFor {
 		q.armedFor = first
@@ -665,12 +735,13 @@
 	}
 }
 
-// schedule has something done at its time; the one timer is set for the first of these.
+// schedule has a function run at a time. One timer serves all: it is set for the first.
 func (b *Balancer) schedule(at time.Duration, run func()) {
 	b.timers.add(at, run)
 	b.timers.arm(b.now, b.executor.SetTimer)
 }
 
+// TimerFired runs all functions that are due and sets the timer for the next one.
 func (b *Balancer) TimerFired(now time.Duration) {
 	b.beginCall(now)
 	for run := b.timers.popDue(now); run != nil; run = b.timers.popDue(now) {
@@ -679,16 +750,16 @@
 	b.timers.arm(now, b.executor.SetTimer)
 }
 
-// randomSource gives the same draws for the same seed.
+// randomSource yields the same random numbers for the same seed: the CRC-32 of seed and counter.
 type randomSource struct{ seed, drawCount uint32 }
 
-// reserve counts one draw.
+// reserve passes over one number. A randomSource with this seed and the returned count yields it.
 func (r *randomSource) reserve() uint32 {
 	r.drawCount++
 	return r.drawCount - 1
 }
 
-// uniform is even over [0, 1).
+// uniform returns the next number, evenly distributed over [0, 1).
 func (r *randomSource) uniform() float64 {
 	r.drawCount++
 	crc := ^r.seed
@@ -699,17 +770,19 @@
 	return float64(^crc) / (1 << 32)
 }
 
+// hostTable holds all hosts of the host list, by ID, kind and zone.
 type hostTable struct {
 	byID                    map[HostID]*host
 	kinds                   map[string]*kindStats
-	ready                   []*host      // by id
-	startKnown              []*host      // those of which a start is known
-	groups                  []*zoneGroup // the own one first
-	maxCapacityHint         float64      // size that a list has told of a host
-	consecutiveListFailures int          // calls for the list lost in a row
-	rankSeed                uint32       // seed of the order in which this gateway takes hosts
+	ready                   []*host      // by ID
+	startKnown              []*host      // ready hosts whose start time is known
+	groups                  []*zoneGroup // one for each zone, this gateway's first
+	maxCapacityHint         float64      // largest that the list gave any host
+	consecutiveListFailures int          // requests for the list in a row that failed
+	rankSeed                uint32       // seed of the order in which this gateway prefers hosts, 0 for none of its own
 }
 
+// addGroups adds a group for each zone, beginning with this gateway's own.
 func (t *hostTable) addGroups(topology Topology) {
 	zones := topology.Zones
 	if len(zones) == 0 {
@@ -718,14 +791,15 @@
 	ownIndex := max(0, slices.Index(zones, topology.Zone))
 	for i := range zones {
 		index := (ownIndex + i) % len(zones)
-		t.groups = append(t.groups, &zoneGroup{name: zones[index], index: index, queueingRatio: movingAverage{1, 1 / queueingRatioSmoothing}})
+		t.groups = append(t.groups,
+			&zoneGroup{name: zones[index], index: index, queueingRatio: movingAverage{1, 1 / queueingRatioSmoothing}})
 	}
 	for i, g := range t.groups {
 		g.searchOrder = append(append(append(g.searchOrder, g), t.groups[:i]...), t.groups[i+1:]...)
 	}
 }
 
-// readyHost is nil where a host is not known or not ready.
+// readyHost returns a host, nil where it is not known or not ready.
 func (t *hostTable) readyHost(id HostID) *host {
 	if h := t.byID[id]; h != nil && h.State == HostReady {
 		return h
@@ -735,8 +809,9 @@
 
 func (t *hostTable) ownGroup() *zoneGroup { return t.groups[0] }
 
-// errorFractionElsewhere is the mean share of errors at the hosts that are not barred, but for one: that one's own say nothing of what
-// is usual. Where any told anything since then, only such hosts count: those that get no hops err on none.
+// errorFractionElsewhere returns the mean error fraction of the hosts with a closed breaker, except for one, whose own
+// errors say nothing about what is usual. Where any of them has answered after since, only such hosts count: a host
+// without hops has no errors.
 func (t *hostTable) errorFractionElsewhere(except *host, since time.Duration) float64 {
 	var recent, all movingAverage
 	for _, h := range t.ready {
@@ -750,9 +825,10 @@
 	return ternary(recent.samples > 0, recent, all).value
 }
 
-// referenceFailureFraction is the share of failures that a profile's at a host is compared with: the largest of other profiles there that were
-// answered last, or the lower quartile of its own at other hosts if that is more. Only what was answered since then counts, and where its own
-// failed last; it is 1 where there is nothing to compare with.
+// referenceFailureFraction returns the failure fraction that the one of a profile at a host is compared with: the
+// largest of other profiles there whose last hop succeeded, or the lower quartile of its own at other hosts if that is
+// more. Only those count that succeeded after since, or, at other hosts, failed last. It is 1 where there is nothing to
+// compare with.
 func (t *hostTable) referenceFailureFraction(h *host, profile int, since time.Duration) float64 {
 	var here, elsewhere []float64
 	for i := range h.profileBreakers {
@@ -772,7 +848,7 @@
 	return max(slices.Max(here), elsewhere[len(elsewhere)/4])
 }
 
-// groupAt is the one of that index among the zones, the own one where there is none.
+// groupAt returns the group of a zone by its index in the topology, this gateway's own where there is none.
 func (t *hostTable) groupAt(index int) *zoneGroup {
 	for _, g := range t.groups {
 		if g.index == index {
@@ -782,19 +858,21 @@
 	return t.ownGroup()
 }
 
-// rank is a host's place in the order of this gateway, the same for all where it keeps to no order of its own.
+// rank returns the place of a host in this gateway's order of preference, from 0 to 1, the same for all hosts where it
+// has no order of its own.
 func (t *hostTable) rank(id HostID) float64 {
 	return ternary(t.rankSeed == 0, &randomSource{}, &randomSource{t.rankSeed, uint32(id)}).uniform()
 }
 
-// merge takes a list in and returns the hosts that are new or have started again.
+// merge takes in a host list, or the changes to it, and returns the hosts that are new or have started again. The
+// function isGone decides on hosts that the list leaves out or calls gone.
 func (t *hostTable) merge(kind ListKind, listed []Host, isGone func(*host) bool) (added []*host) {
 	if kind != ListCached {
 		t.consecutiveListFailures = 0
 	}
-	membershipChanged := kind != ListChanges // whether any comes, goes or begins anew: else only sizes have changed
+	membershipChanged := kind != ListChanges // false: only capacity hints have
 	if membershipChanged {
-		for _, h := range t.byID { // in any order: each is its own
+		for _, h := range t.byID { // the order does not matter
 			h.State = ternary(isGone(h), HostGone, h.State)
 		}
 	}
@@ -828,14 +906,16 @@
 	return added
 }
 
-// updateInFlightPerCore takes in what hosts hold for each core, by the sizes that a list gives, and tells the mean over all.
+// updateInFlightPerCore computes the hops in flight per core of each host from the live capacity hints of a list: such a
+// hint is the capacity over one more than these hops, so that of an idle host is the largest of its kind. It returns the
+// mean over all hosts.
 func (t *hostTable) updateInFlightPerCore(listed []Host) (overall movingAverage) {
 	for i := range listed {
 		if h := t.readyHost(listed[i].ID); h != nil && listed[i].CapacityHint > 0 {
 			h.reportedInFlight = h.kindStats.maxCapacityHint/listed[i].CapacityHint - 1
 		}
 	}
-	for _, m := range t.kinds { // in any order: each is its own
+	for _, m := range t.kinds { // the order does not matter
 		m.inFlightPerCore = movingAverage{}
 	}
 	for _, g := range t.groups {
@@ -849,9 +929,9 @@
 	return overall
 }
 
-// updateAnswerRates takes in what a warm host of each kind did for this gateway within the last second.
+// updateAnswerRates takes in, by kind, how many answers this gateway got from a warm host within the last second.
 func (t *hostTable) updateAnswerRates(isCold func(*host) bool) {
-	for _, m := range t.kinds { // in any order: each is its own
+	for _, m := range t.kinds { // the order does not matter
 		if m.warmHosts > 0 {
 			m.answersPerSecond.add(m.answersThisSecond/m.warmHosts, rateSmoothing)
 		}
@@ -862,7 +942,8 @@
 	}
 }
 
-// rebuildGroups puts the hosts that are ready into their groups.
+// rebuildGroups puts the ready hosts into the groups of their zones, and drops hosts that are gone once no own hop is in
+// flight there.
 func (t *hostTable) rebuildGroups() {
 	t.ready, t.startKnown = t.ready[:0], t.startKnown[:0]
 	for _, g := range t.groups {
@@ -872,7 +953,7 @@
 		h := t.byID[id]
 		i := slices.IndexFunc(t.groups, func(g *zoneGroup) bool { return g.name == h.Zone })
 		if i < 0 {
-			h.State = HostGone // in no zone that is known
+			h.State = HostGone // its zone is not configured
 		}
 		if h.State == HostReady {
 			h.group = t.groups[i]
@@ -889,105 +970,112 @@
 	}
 }
 
-// kindStats is what like hosts show.
+// kindStats is what was learned of the hosts of one kind.
 type kindStats struct {
-	weight               float64       // times that of each host, where the list tells what they hold
-	inFlightPerCore      movingAverage // held for each core there, ditto
-	maxCapacityHint      float64       // the largest that the list has told of one: what one that holds nothing is
-	answersThisSecond    float64       // answers of warm hosts of this kind within the last second
-	warmHosts            float64       // these hosts
-	answersPerSecond     movingAverage // answers of each a second
-	slots                movingAverage // hops in work at a full host, where reports show it
-	meanInFlight         movingAverage // hops there, where hosts report these and utilisation
-	uncrowdedInFlight    movingAverage // those up to the usual ones, when cores are free
-	uncrowdedUtilization movingAverage // and the utilisation then
-	overloaded           bool          // one of these hosts was: how many hops they take is no guess then
-	serviceTimeRatio     movingAverage // times the usual time of a profile
-}
-
-// zoneGroup is the hosts of one zone.
+	weight               float64       // factor on the weight of each such host, with live capacity hints
+	inFlightPerCore      movingAverage // mean hops per core at these hosts, with live capacity hints
+	maxCapacityHint      float64       // largest that the list gave one of them: that of an idle host
+	answersThisSecond    float64       // successful hops at warm hosts in the current second
+	warmHosts            float64       // how many hosts these answers come from
+	answersPerSecond     movingAverage // by warm host
+	slots                movingAverage // hops that a full host works on at a time, where reports show it
+	meanInFlight         movingAverage // hops in flight at a host, where hosts report them and their utilization
+	uncrowdedInFlight    movingAverage // the same from reports of no more than the mean, while cores are free
+	uncrowdedUtilization movingAverage // utilization in these reports
+	overloaded           bool          // one of these hosts was overloaded: from then on the slots count as known
+	serviceTimeRatio     movingAverage // service time relative to the usual one of the profile
+}
+
+// zoneGroup holds the ready hosts of one zone and what is known of them together.
 type zoneGroup struct {
 	name                  string
-	index                 int // among the zones
-	hosts                 []*host
-	searchOrder           []*zoneGroup         // this one and then the others
-	queuedPerHost         movingAverage        // hops waiting at a host here, where answers report it to one of many
-	reportedInFlight      movingAverage        // hops of other gateways at a host here, where answers report what is held to one of many
-	queueingRatio         movingAverage        // what answers here take, crowds aside, of the least
-	spilloverFraction     float64              // part of its traffic that goes to others, where the list tells what hosts hold
-	effectiveHosts        float64              // hosts here, those counted less that hold much, ditto
-	inFlightAtTargets     float64              // held for each core at the hosts that hops go to, ditto
-	congestion            []congestionEstimate // by profile, what hops take here, where nothing tells of hosts
-	shedFraction          float64              // part of its transactions that is rolled back, where the list tells what hosts hold
-	shedUpdatedAt         time.Duration        // when that was last reckoned
-	skippedCoordinators   int                  // those that drew here and were given up as silent
-	consecutiveUnanswered int                  // answers in a row that did not come
-}
-
-// recordUnanswered counts answers that did not come, and goes on to the next drawer after most in a row.
+	index                 int                  // among the zones of the topology
+	hosts                 []*host              // by rank
+	searchOrder           []*zoneGroup         // this group, then the others
+	queuedPerHost         movingAverage        // hops queued at a host, where responses report it to one of many gateways
+	reportedInFlight      movingAverage        // hops of others at a host from reports; with live capacity hints hops per core
+	queueingRatio         movingAverage        // latency over the least service time, the slowdown by hops in flight divided out
+	spilloverFraction     float64              // of its transactions that goes to other zones, with live capacity hints
+	effectiveHosts        float64              // hosts weighted by spreadFactor: loaded ones count less
+	inFlightAtTargets     float64              // mean hops per core at the hosts that hops are sent to, with live capacity hints
+	congestion            []congestionEstimate // by profile, where zones are judged as a whole
+	shedFraction          float64              // part of shedProbability that adds up over time, with live capacity hints
+	shedUpdatedAt         time.Duration        // of shedFraction
+	skippedCoordinators   int                  // how many coordinators were given up as unresponsive
+	consecutiveUnanswered int                  // messages in a row to the coordinator without a response
+}
+
+// recordUnanswered counts responses that did not come, and goes on to the next coordinator after maxConsecutive in a
+// row.
 func (g *zoneGroup) recordUnanswered(count, maxConsecutive int) {
 	if g.consecutiveUnanswered += count; g.consecutiveUnanswered >= maxConsecutive {
 		g.skippedCoordinators, g.consecutiveUnanswered = g.skippedCoordinators+1, 0
 	}
 }
 
-// congestionEstimate is smoothed, with the time of its last answer.
+// congestionEstimate is the smoothed latency ratio of hops in a zone. The time is that of the last hop of a profile that
+// earns as much or more.
 type congestionEstimate struct {
 	value     float64
 	updatedAt time.Duration
 }
 
+// peerInFlight is the number of hops that another gateway has in flight at a host.
 type peerInFlight struct {
 	hops       int
 	receivedAt time.Duration
 }
 
+// host is the entry of a host in the list and what this gateway knows of it.
 type host struct {
 	Host
-	ownInFlight        int // hops of this gateway out
+	ownInFlight        int // hops of this gateway
 	group              *zoneGroup
 	kindStats          *kindStats
-	peersInFlight      int                  // hops of the other gateways out, as told
-	inFlightByPeer     map[int]peerInFlight // the same by the gateway that told
-	lastSentInFlight   int                  // own hops out as last told
-	resend             bool                 // to be told of once more
-	unsent             bool                 // to be told of soon
-	connectionUnproven bool                 // nothing has come yet on its connection, new or unused for long
-	rank               float64              // its place in the order in which this gateway takes hosts
-	lastUsedAt         time.Duration        // when a hop last went there, 0 once its connections are given back
-	noConnectUntil     time.Duration        // until when no new connection is tried, as one could not be made
-	unsentOutcomes     []PeerEntry          // how own hops ended, not yet told
+	peersInFlight      int                  // hops of the other gateways, by peer messages
+	inFlightByPeer     map[int]peerInFlight // the same by gateway
+	lastSentInFlight   int                  // ownInFlight as last sent to peers
+	resend             bool                 // changed when last sent: to be sent once more
+	unsent             bool                 // due to be sent to peers
+	connectionUnproven bool                 // its connection, new or long idle, has not carried an answer yet
+	rank               float64              // place in this gateway's order of preference
+	lastUsedAt         time.Duration        // when a hop was last sent there, 0 once its connections are closed
+	noConnectUntil     time.Duration        // no new connection is tried before, as one has failed
+	unsentOutcomes     []PeerEntry          // of own hops, for the zone coordinator
 	health
-	coldHopTimes []time.Duration // hops within the last TipAfter while cold
+	coldHopTimes []time.Duration // when hops were sent within the last OverloadDuration while it was cold
 }
 
+// health is what hops and reports have shown of a host. It begins anew when the host starts again.
 type health struct {
-	weight              float64
-	answeredThisSecond  bool          // an answer since the last second
-	failedThisSecond    bool          // a failure, full answer or time-out since the last slow tick
-	serviceTimeRatio    movingAverage // times the usual time of a profile, with a core free
-	latency             movingAverage // time of an answer, waits included
-	utilization         float64       // reported utilisation
+	weight              float64       // for picks; the mean over a zone is 1
+	answeredThisSecond  bool          // a hop succeeded since the weights were last adjusted
+	failedThisSecond    bool          // a hop failed, was rejected or timed out since then
+	serviceTimeRatio    movingAverage // service time with a free core, relative to the usual one of the profile
+	latency             movingAverage // of answers, queueing included, in ns
+	utilization         float64       // as last reported
 	utilizationAt       time.Duration // when that came, 0 for never
-	lastProbedAt        time.Duration // when last probed beside answers
-	reportedInFlight    float64       // hops of other gateways there, as it last reported
-	reportedInFlightAt  time.Duration // when that came
-	latencyRatio        float64       // what hops took here of late, of what they take at a free host
-	latencyRatioAt      time.Duration // when that was
-	estimatedInFlight   float64       // hops that wait or are worked on there, by its queue, rate and time
-	estimatedInFlightAt time.Duration // when that came
-	spreadFactor        float64       // times the weight, until the list tells anew what hosts hold
-	serviceTimeRatioAt  time.Duration // when an answer or time-out last said something of its pace
-	unansweredSince     time.Duration // since when hops are out without any answer, if any are
-	hostBreaker         breaker
-	profileBreakers     []breaker // by profile
-}
-
+	lastProbedAt        time.Duration // for want of a recent report
+	reportedInFlight    float64       // hops of others as last reported; with live capacity hints all hops per core
+	reportedInFlightAt  time.Duration // when a host reported it, 0 for never or too long ago
+	latencyRatio        float64       // recent latency of hops relative to that at an idle host
+	latencyRatioAt      time.Duration // when that was updated
+	estimatedInFlight   float64       // hops queued or worked on, from its reported queue, rate and latency
+	estimatedInFlightAt time.Duration // when that report came, 0 for never
+	spreadFactor        float64       // factor on the weight until the next list, with live capacity hints
+	serviceTimeRatioAt  time.Duration // when an answer or timeout last said something of that ratio
+	unansweredSince     time.Duration // the later of the last answer and the first of the hops in flight
+	hostBreaker         breaker       // for all profiles
+	profileBreakers     []breaker     // by profile
+}
+
+// breakers returns those that a hop of a profile has to pass.
 func (h *host) breakers(profile int) []*breaker {
 	return []*breaker{&h.hostBreaker, &h.profileBreakers[profile]}
 }
 
-// recordReportedLoad takes in what a host says of its load.
+// recordReportedLoad takes in the utilization of a host and the slots of its kind: with hops queued it works on the
+// others in flight, and without any it has at least as many slots as hops.
 func (h *host) recordReportedLoad(load LoadReport, now time.Duration) {
 	if load.Utilization >= 0 {
 		h.utilization, h.utilizationAt = load.Utilization, now
@@ -999,59 +1087,72 @@
 	}
 }
 
-// concurrencyLimit is the hops at which all cores of such a host are in use, 0 where that is not known.
+// concurrencyLimit returns the number of hops in flight at which all cores of such a host are in use, 0 where that is
+// not known.
 func (m *kindStats) concurrencyLimit() float64 {
 	return ternary(m.uncrowdedUtilization.samples > 0, m.uncrowdedInFlight.value/m.uncrowdedUtilization.value, 0)
 }
 
-// recordReportedInFlight takes in what others have out at the host, and what its like hold as their cores fill. That only while the load is
-// calm: utilisation is of a time, what is held of its end, and as a day began the knee came out at three to six times its
-// value, so that hosts were buried in the first second.
+// recordReportedInFlight takes in the hops of other gateways at a host, and, for the concurrency limit of its kind, its
+// hops in flight and utilization. The latter only while utilization is steady: it covers a span of time, and the hops in
+// flight are those at its end. At the start of a day's traffic the limit otherwise came out at three to six times its
+// value, and hosts were overloaded in the first second.
 func (h *host) recordReportedInFlight(load LoadReport, steady bool, now time.Duration) {
 	h.reportedInFlight, h.reportedInFlightAt = max(0, load.InFlight-float64(h.ownInFlight)), now
 	stats := h.kindStats
 	if stats.uncrowdedInFlight.samples == 0 {
-		stats.uncrowdedInFlight, stats.uncrowdedUtilization = movingAverage{initialConcurrencyLimit / 2, concurrencyLimitPriorSamples}, movingAverage{0.5, concurrencyLimitPriorSamples}
+		stats.uncrowdedInFlight, stats.uncrowdedUtilization =
+			movingAverage{initialConcurrencyLimit / 2, concurrencyLimitPriorSamples},
+			movingAverage{0.5, concurrencyLimitPriorSamples}
 	}
 	if load.Utilization > 0 && load.InFlight >= 1 {
-		if stats.meanInFlight.add(load.InFlight, mediumTermSmoothing); load.InFlight <= stats.meanInFlight.value && load.Utilization < maxConcurrencyLimitUtilization && steady {
+		if stats.meanInFlight.add(load.InFlight, mediumTermSmoothing); load.InFlight <= stats.meanInFlight.value &&
+			load.Utilization < maxConcurrencyLimitUtilization && steady {
 			stats.uncrowdedInFlight.add(load.InFlight, mediumTermSmoothing)
 			stats.uncrowdedUtilization.add(load.Utilization, mediumTermSmoothing)
 		}
 	}
 }
 
+// recordServiceTimeRatio takes in the service time of a hop, relative to the usual one of its profile, for the host and
+// its kind.
 func (h *host) recordServiceTimeRatio(ratio float64) {
 	h.kindStats.serviceTimeRatio.add(ratio, mediumTermSmoothing)
 	h.serviceTimeRatio.add(ratio, shortTermSmoothing)
 }
 
-// normalizeServiceTimeRatios keeps paces around 1. One not heard of gets no hops to show it well: it goes to its like's.
+// normalizeServiceTimeRatios scales the service time ratios of hosts and kinds to a mean of 1 and updates the least
+// service times, once a second. A host without an answer for observationTTL may get no hops that would show a better
+// ratio: its own approaches the one of its kind.
 func (b *Balancer) normalizeServiceTimeRatios() {
 	mean, ownHosts := movingAverage{1, 0}, []*host{}
 	for _, h := range b.hosts.ready {
-		if b.picksFor(h.group) { // others' paces are told
+		if b.picksFor(h.group) { // those of other groups come with aggregates
 			mean.add(h.serviceTimeRatio.value, 0)
 			ownHosts = append(ownHosts, h)
 		}
 	}
-	useLongTerm := b.hostsReportInFlight() || b.fewWithoutReports() || b.usesLiveCapacity() // a few short answers are not the least time
+	// A few short answers do not show the least service time.
+	useLongTerm := b.hostsReportInFlight() || b.fewWithoutReports() || b.usesLiveCapacity()
 	for i := range b.serviceTime {
 		serviceTime := &b.serviceTime[i]
-		if serviceTime.samples-b.previousSamples[i] > priorServiceTimeRatioSamples { // the time of one rolled back each time would drift away
+		// Without new samples, as of a profile that is always rejected, the time would drift away.
+		if serviceTime.samples-b.previousSamples[i] > priorServiceTimeRatioSamples {
 			serviceTime.value *= mean.value
 		}
 		b.previousSamples[i] = serviceTime.samples
-		// Where gateways tell, a jam is in the crowd and does not raise the work. What stays so long although next to nothing is
-		// taken is no jam, but what a profile takes.
-		b.minServiceTime[i] *= 1 + ternary(b.hasNoLoadInfo() && b.congestion(b.hosts.ownGroup(), i) >= congestionShedRampEnd, congestedMinServiceTimeRisePerSecond, minServiceTimeRisePerSecond)
+		// With peer messages queueing shows in the in-flight counts and does not raise the service time. A latency that
+		// stays high although almost nothing is admitted is no congestion but the time that the profile takes.
+		b.minServiceTime[i] *= 1 + ternary(b.hasNoLoadInfo() && b.congestion(b.hosts.ownGroup(), i) >= congestionShedRampEnd,
+			congestedMinServiceTimeRisePerSecond, minServiceTimeRisePerSecond)
 		typical, smoothing := *serviceTime, mediumTermSmoothing
 		if useLongTerm {
 			typical, smoothing = b.longTermServiceTime[i], longTermSmoothing
 		}
 		switch {
-		case typical.samples == 0: // or what is never answered would yield to nothing, and all others to it
-		case typical.samples*smoothing < 1 && !b.sources.PeersShareInFlight && (useLongTerm || typical.value >= b.minServiceTime[i]): // begun in a jam?
+		case typical.samples == 0: // else a profile that is never answered would yield to none, and all others to it
+		case typical.samples*smoothing < 1 && !b.sources.PeersShareInFlight &&
+			(useLongTerm || typical.value >= b.minServiceTime[i]): // the first samples may come from congestion
 			b.minServiceTime[i] = min(typical.value, initialServiceTimeGoalFraction*float64(b.profiles[i].ServiceGoal))
 		case b.sources.PeersShareInFlight || typical.value < b.minServiceTime[i]:
 			b.minServiceTime[i] = typical.value
@@ -1061,23 +1162,24 @@
 		m.serviceTimeRatio.value = max(m.serviceTimeRatio.value/mean.value, minServiceTimeRatio)
 	}
 	for _, h := range ownHosts {
-		if h.serviceTimeRatio.value /= mean.value; b.now-h.serviceTimeRatioAt > observationTTL && h.kindStats.serviceTimeRatio.samples > 0 {
+		if h.serviceTimeRatio.value /= mean.value; b.now-h.serviceTimeRatioAt > observationTTL &&
+			h.kindStats.serviceTimeRatio.samples > 0 {
 			h.serviceTimeRatio.value += excessDecayPerSecond * (h.kindStats.serviceTimeRatio.value - h.serviceTimeRatio.value)
 		}
 	}
 }
 
-// breakersClosed tells whether neither breaker is open.
+// breakersClosed reports whether no breaker bars a hop of the profile.
 func (h *host) breakersClosed(profile int) bool {
 	return !h.hostBreaker.open && !h.profileBreakers[profile].open
 }
 
-// openedByOverload tells whether overload opened a breaker that is open.
+// openedByOverload reports whether a breaker for the profile is open because of overload.
 func (h *host) openedByOverload(profile int) bool {
 	return slices.ContainsFunc(h.breakers(profile), func(k *breaker) bool { return k.open && k.openedByOverload })
 }
 
-// trialDueAt is when all its open breakers are due for a trial.
+// trialDueAt returns when all open breakers for the profile are due for a trial, 0 if none is open.
 func (h *host) trialDueAt(profile int) (dueAt time.Duration) {
 	for _, k := range h.breakers(profile) {
 		if k.open {
@@ -1087,7 +1189,8 @@
 	return dueAt
 }
 
-// startTrial marks its open breakers as on trial, and when the next is due.
+// startTrial marks the open breakers for the profile as on trial. Without an outcome the next trial is due at
+// nextTrialAt.
 func (h *host) startTrial(profile int, nextTrialAt time.Duration) {
 	for _, k := range h.breakers(profile) {
 		if k.open {
@@ -1096,12 +1199,13 @@
 	}
 }
 
-// inFlight is all hops there, as far as known.
+// inFlight returns the hops of all gateways at the host, as far as known.
 func (h *host) inFlight() float64 {
-	return float64(h.ownInFlight+h.peersInFlight) + ternary(h.reportedInFlightAt > 0, h.reportedInFlight, h.group.reportedInFlight.value+h.group.queuedPerHost.value)
+	return float64(h.ownInFlight+h.peersInFlight) +
+		ternary(h.reportedInFlightAt > 0, h.reportedInFlight, h.group.reportedInFlight.value+h.group.queuedPerHost.value)
 }
 
-// setPeerInFlight counts what another gateway has out.
+// setPeerInFlight sets the number of hops that another gateway has in flight at the host.
 func (h *host) setPeerInFlight(gateway, hops int, now time.Duration) {
 	if h.ownInFlight+h.peersInFlight == 0 {
 		h.unansweredSince = now
@@ -1113,9 +1217,9 @@
 	h.inFlightByPeer[gateway] = peerInFlight{hops, now}
 }
 
-// expirePeerInFlight forgets what was told before since.
+// expirePeerInFlight drops the in-flight counts of peers and reports that are older than a time.
 func (h *host) expirePeerInFlight(before time.Duration) {
-	for gateway, k := range h.inFlightByPeer { // in any order: it is a sum
+	for gateway, k := range h.inFlightByPeer { // the order does not matter for a sum
 		if k.receivedAt < before {
 			h.peersInFlight -= k.hops
 			delete(h.inFlightByPeer, gateway)
@@ -1126,11 +1230,12 @@
 	}
 }
 
+// isCold reports whether a host is still warming up, or may be, as its start time is not exact.
 func (b *Balancer) isCold(h *host) bool {
 	return h.StartedAt > 0 && b.now-h.StartedAt < b.coldRule.WarmUpDuration+b.coldRule.StartTimeTolerance
 }
 
-// coldHopsSince is how many hops were sent to it since then, as it was cold.
+// coldHopsSince returns how many hops were sent to the cold host after since, and drops the older ones.
 func (h *host) coldHopsSince(since time.Duration) int {
 	for len(h.coldHopTimes) > 0 && h.coldHopTimes[0] <= since {
 		h.coldHopTimes = h.coldHopTimes[1:]
@@ -1138,7 +1243,7 @@
 	return len(h.coldHopTimes)
 }
 
-// medianLatency is the middle latency of the hosts that have answered.
+// medianLatency returns the median latency, in ns, of the hosts that have answered, 0 if none has.
 func medianLatency(hosts []*host) float64 {
 	var latencies []float64
 	for _, h := range hosts {
@@ -1153,7 +1258,7 @@
 	return latencies[len(latencies)/2]
 }
 
-// unsentEntries is what is to be told of the hosts of a group.
+// unsentEntries returns the entries to send for the unsent hosts of a group, and marks these as sent.
 func unsentEntries(unsent []*host, g *zoneGroup) (entries []PeerEntry) {
 	for _, h := range unsent {
 		if h.group == g {
@@ -1165,36 +1270,38 @@
 	return entries
 }
 
-// breaker is for a host, or for one profile there. There is one for each of both, so its fields are as small as may be.
+// breaker is a circuit breaker for a host, or for one profile there. There is one for each pair of host and profile, so
+// its fields are small.
 type breaker struct {
-	consecutiveFailures uint8         // failures in a row
-	open                bool          // no hops but trials
-	onTrial             bool          // a trial is out
-	openedByOverload    bool          // it was opened by overload
-	failureFraction     float32       // smoothed share of failures, time-outs among them
-	errorFraction       float64       // the same of errors
-	streakSince         time.Duration // when the first of the row failed, or, where there is none, of the last good answer
-	nextTrialAt         time.Duration // when the next trial is due
-	cooldown            time.Duration // the cooldown before it
-}
-
-// retryUsage counts a profile's transactions taken and its hops beyond each transaction's first.
+	consecutiveFailures uint8
+	open                bool // no hops but trials
+	onTrial             bool // a trial is in flight
+	openedByOverload    bool
+	failureFraction     float32       // smoothed fraction of failures, timeouts among them
+	errorFraction       float64       // smoothed fraction of errors
+	streakSince         time.Duration // when the first of consecutiveFailures came; if there are none, the last success
+	nextTrialAt         time.Duration
+	cooldown            time.Duration // from opening to the next trial, before jitter
+}
+
+// retryUsage counts the transactions received of a profile, and its retries: the hops beyond each transaction's first.
 type retryUsage struct{ transactions, retries slidingWindow }
 
 func (r *retryUsage) countTransaction(now, span time.Duration) { r.transactions.add(now, span) }
 func (r *retryUsage) countRetry(now, span time.Duration)       { r.retries.add(now, span) }
 
-// slotsPerWindow is into how many slots a window is cut: what is counted falls by a twentieth of it at once.
+// slotsPerWindow is the resolution of a sliding window: counts leave it by a twentieth of the span at a time.
 const slotsPerWindow = 20
 
-// slidingWindow counts what came within the last span, by slots. The oldest slot lies in it partly.
+// slidingWindow counts events within the last span, by slots. There is one slot more than the span has, as the oldest
+// lies in it only partly.
 type slidingWindow struct {
-	span       time.Duration // as last counted by
-	newestSlot int64         // number of the newest slot since the module's time 0
+	span       time.Duration // of the last call
+	newestSlot int64         // number of the newest slot, counted from time 0 of the Balancer
 	slots      [slotsPerWindow + 1]int32
 }
 
-// advance lets go of slots that are past. Another span keeps what was counted, as if it had all come now.
+// advance clears the slots that have left the window. A change of span keeps the total, as if all had come now.
 func (w *slidingWindow) advance(now, span time.Duration) {
 	if span <= 0 {
 		return
@@ -1219,12 +1326,13 @@
 	}
 }
 
-// upperBound is what may have come within the span, least what surely has.
+// upperBound returns how many events at most came within the span: the oldest slot counts in full.
 func (w *slidingWindow) upperBound(now, span time.Duration) float64 {
 	w.advance(now, span)
 	return w.total()
 }
 
+// lowerBound returns how many events at least came within the span: the oldest slot does not count.
 func (w *slidingWindow) lowerBound(now, span time.Duration) float64 {
 	w.advance(now, span)
 	return w.total() - float64(w.slots[(w.newestSlot+1)%(slotsPerWindow+1)])
@@ -1238,11 +1346,13 @@
 	return float64(total)
 }
 
+// tenantAdmission holds the token bucket and the missed goals of each tenant at this gateway.
 type tenantAdmission struct {
 	tenants []tenant
 }
 
-// missedGoalsOfOthers is the share of hops past their goal of the tenants but this one, and how many hops that rests on; 0 for no tenant.
+// missedGoalsOfOthers returns the mean fraction of hops past their service goal over the tenants, with 0 for t itself,
+// and the number of hops of the others that it rests on. Both are 0 where t is nil.
 func (a *tenantAdmission) missedGoalsOfOthers(t *tenant) (fraction, hops float64) {
 	var others movingAverage
 	for i := range a.tenants {
@@ -1254,17 +1364,19 @@
 	return others.value, hops
 }
 
-// tenant counts in transactions a second of this gateway.
+// tenant is the usage of one tenant. All but the quota, which is over all gateways, counts the transactions of this
+// gateway.
 type tenant struct {
 	name                    string
-	quota, tokens, arrivals float64
-	arrivalRate             movingAverage
-	missedGoalFraction      movingAverage // share of hops past their goal
-	overShare               bool          // it sends far more than its portion
+	quota, tokens, arrivals float64       // quota per second; transactions left within the share; those since the last refill
+	arrivalRate             movingAverage // transactions per second
+	missedGoalFraction      movingAverage // of its hops
+	overShare               bool          // its rate is far over its portion of the quota
 }
 
-// refill gives tenants a second's tokens, by an even part of the quota or what the middle tenant shows, so
-// that none at a busy gateway is taken for greedy.
+// refill gives each tenant the tokens of one second, once a second. Its portion is an even part of the quota over the
+// gateways, or as large a part as the median tenant uses here if that is more, so that at a busy gateway not every
+// tenant counts as over its share.
 func (a *tenantAdmission) refill(gatewayCount float64) {
 	var quotaUsage []float64
 	for i := range a.tenants {
@@ -1282,7 +1394,7 @@
 	}
 }
 
-// charge tells whether a transaction goes beyond its tenant's share.
+// charge takes one token of a tenant for a transaction, and reports whether that goes beyond the tenant's share.
 func (a *tenantAdmission) charge(tenantIndex int) bool {
 	t := &a.tenants[tenantIndex]
 	t.arrivals++
@@ -1290,30 +1402,34 @@
 	return t.overShare && t.tokens < 0
 }
 
+// tx is the state of one transaction.
 type tx struct {
 	id            TxID
-	profile       int
+	profile       int // index of profileConfig
 	profileConfig *Profile
 	deadline      time.Duration // when an answer earns nothing more, or the budget ends
 	hops          []hop
-	hopsInFlight  int // hops out
-	affinityKey   uint32
-	homeGroup     *zoneGroup // the zone it came in
-	maxHops       int        // hops that it may have
-	hopWeight     int        // what a hop of it counts at its host: nothing while its body comes
-	outlierTenant bool       // its tenant's wait long wherever they go: its hops weigh and tell nothing
-	overShare     bool       // beyond its tenant's share
-	tenant        *tenant    // nil where there is none
-	slowReader    bool       // its client reads it slowly
-	done          bool       // it has its final answer, or its stream has begun
-}
-
-// candidate is a host's in a draw: the largest falls to each as often as its weight asks.
+	hopsInFlight  int
+	affinityKey   uint32     // of work that hosts remember, 0 for none
+	homeGroup     *zoneGroup // the zone that it arrived in
+	maxHops       int
+	hopWeight     int     // what a hop counts in flight at its host: 0 while the body arrives, or for outlierTenant
+	outlierTenant bool    // its tenant's hops are late at all hosts: they count at no host and say nothing about it
+	overShare     bool    // beyond its tenant's share
+	tenant        *tenant // nil for none
+	slowReader    bool    // its client reads the answer slowly
+	done          bool    // it has its final answer, or its response has started
+}
+
+// candidate is a host in a weighted random pick. Its score is drawn so that the largest falls to each host in proportion
+// to its weight.
 type candidate struct {
 	host                *host
-	expectedTime, score float64 // expected time; the lot
+	expectedTime, score float64 // expectedTime of a hop in ns
 }
 
+// twoBestCandidates returns the candidates with the largest and second largest score, without a host where there are
+// fewer.
 func twoBestCandidates(candidates []candidate) (first, second candidate) {
 	for i, c := range candidates {
 		if i == 0 || c.score > first.score {
@@ -1325,18 +1441,19 @@
 	return first, second
 }
 
+// hop is one attempt of a transaction at a host.
 type hop struct {
 	host           *host
 	sentAt         time.Duration
-	connectionIdle time.Duration // for which its connection had stood unused, where that matters
+	connectionIdle time.Duration // how long its connection had been idle, 0 where that does not matter
 	hostInFlight   float64       // hops at the host when it was sent, itself included
 	ended          bool
 	outcome        HopOutcome
-	onFailure      func() // what comes next where the hop has not answered
+	onFailure      func() // called when it has ended without an answer: retries or finishes
 }
 
-// settleTransaction ends a transaction's part here. One that any host answers with an error is not counted to its tenant's share: it is hardly
-// any work.
+// settleTransaction ends the decisions on a transaction and forgets it once no hop is in flight. One that every host
+// answered with an error does not count towards its tenant's share, as it is hardly any work.
 func (b *Balancer) settleTransaction(t *tx) {
 	for i := range t.hops {
 		if !t.hops[i].ended && !t.done && b.hopRule.CallOff {
@@ -1356,7 +1473,7 @@
 	}
 }
 
-// errorCount is how many hosts have answered it with an error.
+// errorCount returns how many hosts have answered the transaction with an error.
 func (t *tx) errorCount() (count int) {
 	for i := range t.hops {
 		if t.hops[i].ended && t.hops[i].outcome == HopError {
@@ -1366,10 +1483,11 @@
 	return count
 }
 
-// extraCandidates is how many hosts further a transaction may go that may have run: its group is all that it has.
+// extraCandidates returns how many hosts beyond the subset a pick considers for a transaction that may have run: its
+// group may be all that it can go to, and the subset used up.
 func (t *tx) extraCandidates() int { return ternary(t.possiblyRunHop() != nil, len(t.hops), 0) }
 
-// possiblyRunHop is the first hop that may have run, or still may.
+// possiblyRunHop returns the first hop that may have been executed, or still may, nil if there is none.
 func (t *tx) possiblyRunHop() *hop {
 	for i := range t.hops {
 		if !t.hops[i].ended || !t.hops[i].outcome.NeverRan() {
