--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -511,7 +511,7 @@
 	}
 	s.print()
 	// Output:
-	// 7662 log: last second: 3 rolled back on arrival
+	// 7662 log: 3 transactions rejected on arrival in the last second
 }
 
 // ofItsOwn begins a scene at one of 300 gateways of client processes, where answers tell what hosts hold and how busy they are
@@ -734,7 +734,7 @@
 	// 1060 probe 2
 	// 1060 tx 3 hop to 2 for 1000
 	// 1060 tx 4 hop to 2 for 1000
-	// 1662 log: last second: 1 rolled back on arrival
+	// 1662 log: 1 transactions rejected on arrival in the last second
 	// 1720 probe 1
 	// 1720 tx 5 hop to 2 for 155
 	// 1720 probe 2
@@ -986,13 +986,13 @@
 	// answers take 80ms second 9 hops: map[1:4 2:3 3:3]
 	// answers take 80ms second 10 hops: map[1:3 2:3 3:4]
 	// answers take 80ms second 11 hops: map[1:4 2:2 3:4]
-	// 4395 log: last second: 1 rolled back on arrival
-	// 5395 log: last second: 7 rolled back on arrival
-	// 6395 log: last second: 9 rolled back on arrival
-	// 7395 log: last second: 10 rolled back on arrival
-	// 8395 log: last second: 10 rolled back on arrival
-	// 9395 log: last second: 10 rolled back on arrival
-	// 10395 log: last second: 5 rolled back on arrival
+	// 4395 log: 1 transactions rejected on arrival in the last second
+	// 5395 log: 7 transactions rejected on arrival in the last second
+	// 6395 log: 9 transactions rejected on arrival in the last second
+	// 7395 log: 10 transactions rejected on arrival in the last second
+	// 8395 log: 10 transactions rejected on arrival in the last second
+	// 9395 log: 10 transactions rejected on arrival in the last second
+	// 10395 log: 5 transactions rejected on arrival in the last second
 	// 19000 tx 1000 hop to 1 for 1000
 	// 19000 tx 1001 hop to 2 for 1000
 	// 19480 tx 1000 call off hop 0
--- a/logic/state.go
+++ b/logic/state.go
@@ -237,7 +237,7 @@
 // logShed logs how many transactions were rejected on arrival within the last second.
 func (b *Balancer) logShed() {
 	if b.shedThisSecond > 0 {
-		b.executor.Log(fmt.Sprintf("last second: %d rolled back on arrival", b.shedThisSecond))
+		b.executor.Log(fmt.Sprintf("%d transactions rejected on arrival in the last second", b.shedThisSecond))
 	}
 	b.shedThisSecond = 0
 }
