--- a/logic/state.go
+++ b/logic/state.go
@@ -105,9 +105,9 @@
 	for i := len(b.profiles); i < len(profiles); i++ {
 		serviceTime := movingAverage{value: initialServiceTimeGoalFraction * float64(profiles[i].ServiceGoal)}
 		longTerm, minTime, sameNameIndex := movingAverage{}, serviceTime.value, -1
-		for k := range b.profiles {
-			if b.profiles[k].Name == profiles[i].Name {
-				serviceTime, longTerm, minTime, sameNameIndex = b.serviceTime[k], b.longTermServiceTime[k], b.minServiceTime[k], k
+		for j := range b.profiles {
+			if b.profiles[j].Name == profiles[i].Name {
+				serviceTime, longTerm, minTime, sameNameIndex = b.serviceTime[j], b.longTermServiceTime[j], b.minServiceTime[j], j
 			}
 		}
 		b.serviceTime, b.longTermServiceTime, b.minServiceTime =
@@ -115,11 +115,11 @@
 		b.previousSamples, b.retryUsage, b.lastAnsweredAt =
 			append(b.previousSamples, serviceTime.samples), append(b.retryUsage, retryUsage{}), append(b.lastAnsweredAt, 0)
 		for _, h := range b.hosts.byID { // the order does not matter: each host gets a breaker of its own
-			k := breaker{}
+			br := breaker{}
 			if sameNameIndex >= 0 {
-				k = h.profileBreakers[sameNameIndex]
+				br = h.profileBreakers[sameNameIndex]
 			}
-			h.profileBreakers = append(h.profileBreakers, k)
+			h.profileBreakers = append(h.profileBreakers, br)
 		}
 	}
 	for i := range b.retryUsage {
@@ -132,7 +132,7 @@
 	b.admission.tenants = nil
 	for _, t := range tenants {
 		carried := tenant{name: t.Name}
-		if i := slices.IndexFunc(oldTenants, func(k tenant) bool { return k.name == t.Name }); i >= 0 {
+		if i := slices.IndexFunc(oldTenants, func(old tenant) bool { return old.name == t.Name }); i >= 0 {
 			carried = oldTenants[i]
 		}
 		carried.quota = t.QuotaPerSecond
@@ -174,7 +174,7 @@
 func (b *Balancer) ImportLearned(now time.Duration, learned LearnedState, age time.Duration) {
 	b.beginCall(now)
 	for _, p := range learned.Profiles {
-		i := slices.IndexFunc(b.profiles, func(entry Profile) bool { return entry.Name == p.Name && !entry.Removed })
+		i := slices.IndexFunc(b.profiles, func(known Profile) bool { return known.Name == p.Name && !known.Removed })
 		if i >= 0 && b.serviceTime[i].samples == 0 && p.ServiceTime.Value > 0 && p.MinServiceTimeNs > 0 {
 			b.serviceTime[i], b.longTermServiceTime[i], b.minServiceTime[i], b.previousSamples[i] =
 				p.ServiceTime.movingAverage(), p.LongTermServiceTime.movingAverage(), p.MinServiceTimeNs, p.ServiceTime.Samples
@@ -533,9 +533,9 @@
 	excess := 0.0
 	for _, t := range b.txs { // the order does not matter for a sum
 		for i := range t.hops {
-			k := &t.hops[i]
-			age := float64(b.now-k.sentAt) / b.referenceTime(t.profile) / lateHopAgeDivisor
-			if !k.ended && k.host.group == g && age > value &&
+			hop := &t.hops[i]
+			age := float64(b.now-hop.sentAt) / b.referenceTime(t.profile) / lateHopAgeDivisor
+			if !hop.ended && hop.host.group == g && age > value &&
 				b.revenueForWork(t.profile) >= b.revenueForWork(profile) && !b.suspectedOutlier(t.tenant) {
 				excess += lateHopCongestionFraction * (age - value)
 			}
@@ -605,16 +605,16 @@
 // hosts look overloaded or unresponsive, and other transactions are rejected for it.
 func (b *Balancer) HopBodySent(now time.Duration, id TxID, hopIndex int) {
 	b.beginCall(now)
-	t, k := b.openHop(id, hopIndex)
-	if k == nil || t.hopWeight > 0 {
+	t, hop := b.openHop(id, hopIndex)
+	if hop == nil || t.hopWeight > 0 {
 		return
 	}
-	t.hopWeight, t.deadline, k.sentAt = 1, t.deadline+now-k.sentAt, now
-	if k.host.ownInFlight++; k.host.ownInFlight == 1 {
-		k.host.unansweredSince = now
+	t.hopWeight, t.deadline, hop.sentAt = 1, t.deadline+now-hop.sentAt, now
+	if hop.host.ownInFlight++; hop.host.ownInFlight == 1 {
+		hop.host.unansweredSince = now
 	}
-	k.hostInFlight = k.host.inFlight()
-	b.markUnsent(k.host)
+	hop.hostInFlight = hop.host.inFlight()
+	b.markUnsent(hop.host)
 }
 
 // ResponseStarted ends the decisions on a transaction: its final answer is on its way.
@@ -832,13 +832,13 @@
 func (t *hostTable) referenceFailureFraction(h *host, profile int, since time.Duration) float64 {
 	var here, elsewhere []float64
 	for i := range h.profileBreakers {
-		if k := &h.profileBreakers[i]; i != profile && k.consecutiveFailures == 0 && k.streakSince > since {
-			here = append(here, float64(k.failureFraction))
+		if br := &h.profileBreakers[i]; i != profile && br.consecutiveFailures == 0 && br.streakSince > since {
+			here = append(here, float64(br.failureFraction))
 		}
 	}
 	for _, other := range t.ready {
-		if k := &other.profileBreakers[profile]; other != h && (k.consecutiveFailures > 0 || k.streakSince > since) {
-			elsewhere = append(elsewhere, float64(k.failureFraction))
+		if br := &other.profileBreakers[profile]; other != h && (br.consecutiveFailures > 0 || br.streakSince > since) {
+			elsewhere = append(elsewhere, float64(br.failureFraction))
 		}
 	}
 	if len(here) == 0 || len(elsewhere) == 0 {
@@ -915,8 +915,8 @@
 			h.reportedInFlight = h.kindStats.maxCapacityHint/listed[i].CapacityHint - 1
 		}
 	}
-	for _, m := range t.kinds { // the order does not matter
-		m.inFlightPerCore = movingAverage{}
+	for _, stats := range t.kinds { // the order does not matter
+		stats.inFlightPerCore = movingAverage{}
 	}
 	for _, g := range t.groups {
 		g.reportedInFlight = movingAverage{}
@@ -931,11 +931,11 @@
 
 // updateAnswerRates takes in, by kind, how many answers this gateway got from a warm host within the last second.
 func (t *hostTable) updateAnswerRates(isCold func(*host) bool) {
-	for _, m := range t.kinds { // the order does not matter
-		if m.warmHosts > 0 {
-			m.answersPerSecond.add(m.answersThisSecond/m.warmHosts, rateSmoothing)
+	for _, stats := range t.kinds { // the order does not matter
+		if stats.warmHosts > 0 {
+			stats.answersPerSecond.add(stats.answersThisSecond/stats.warmHosts, rateSmoothing)
 		}
-		m.answersThisSecond, m.warmHosts = 0, 0
+		stats.answersThisSecond, stats.warmHosts = 0, 0
 	}
 	for _, h := range t.ready {
 		h.kindStats.warmHosts += ternary(isCold(h), 0.0, 1)
@@ -1158,8 +1158,8 @@
 			b.minServiceTime[i] = typical.value
 		}
 	}
-	for _, m := range b.hosts.kinds {
-		m.serviceTimeRatio.value = max(m.serviceTimeRatio.value/mean.value, minServiceTimeRatio)
+	for _, stats := range b.hosts.kinds {
+		stats.serviceTimeRatio.value = max(stats.serviceTimeRatio.value/mean.value, minServiceTimeRatio)
 	}
 	for _, h := range ownHosts {
 		if h.serviceTimeRatio.value /= mean.value; b.now-h.serviceTimeRatioAt > observationTTL &&
@@ -1176,14 +1176,14 @@
 
 // openedByOverload reports whether a breaker for the profile is open because of overload.
 func (h *host) openedByOverload(profile int) bool {
-	return slices.ContainsFunc(h.breakers(profile), func(k *breaker) bool { return k.open && k.openedByOverload })
+	return slices.ContainsFunc(h.breakers(profile), func(br *breaker) bool { return br.open && br.openedByOverload })
 }
 
 // trialDueAt returns when all open breakers for the profile are due for a trial, 0 if none is open.
 func (h *host) trialDueAt(profile int) (dueAt time.Duration) {
-	for _, k := range h.breakers(profile) {
-		if k.open {
-			dueAt = max(dueAt, k.nextTrialAt)
+	for _, br := range h.breakers(profile) {
+		if br.open {
+			dueAt = max(dueAt, br.nextTrialAt)
 		}
 	}
 	return dueAt
@@ -1192,9 +1192,9 @@
 // startTrial marks the open breakers for the profile as on trial. Without an outcome the next trial is due at
 // nextTrialAt.
 func (h *host) startTrial(profile int, nextTrialAt time.Duration) {
-	for _, k := range h.breakers(profile) {
-		if k.open {
-			k.onTrial, k.nextTrialAt = true, nextTrialAt
+	for _, br := range h.breakers(profile) {
+		if br.open {
+			br.onTrial, br.nextTrialAt = true, nextTrialAt
 		}
 	}
 }
@@ -1219,9 +1219,9 @@
 
 // expirePeerInFlight drops the in-flight counts of peers and reports that are older than a time.
 func (h *host) expirePeerInFlight(before time.Duration) {
-	for gateway, k := range h.inFlightByPeer { // the order does not matter for a sum
-		if k.receivedAt < before {
-			h.peersInFlight -= k.hops
+	for gateway, count := range h.inFlightByPeer { // the order does not matter for a sum
+		if count.receivedAt < before {
+			h.peersInFlight -= count.hops
 			delete(h.inFlightByPeer, gateway)
 		}
 	}
@@ -1340,8 +1340,8 @@
 
 func (w *slidingWindow) total() float64 {
 	total := int32(0)
-	for _, k := range w.slots {
-		total += k
+	for _, count := range w.slots {
+		total += count
 	}
 	return float64(total)
 }
@@ -1356,9 +1356,9 @@
 func (a *tenantAdmission) missedGoalsOfOthers(t *tenant) (fraction, hops float64) {
 	var others movingAverage
 	for i := range a.tenants {
-		if k := &a.tenants[i]; t != nil {
-			others.add(ternary(k == t, 0, k.missedGoalFraction.value), 0)
-			hops += ternary(k == t, 0, k.missedGoalFraction.samples)
+		if other := &a.tenants[i]; t != nil {
+			others.add(ternary(other == t, 0, other.missedGoalFraction.value), 0)
+			hops += ternary(other == t, 0, other.missedGoalFraction.samples)
 		}
 	}
 	return others.value, hops
