--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -11,27 +11,27 @@
 	"time"
 )
 
-// show prints what one message is read as.
-func show(text string) {
+// printParsed prints what one message is read as.
+func printParsed(text string) {
 	r := bufio.NewReaderSize(strings.NewReader(text), 256)
 	var h Head
 	t, err := ReadTransaction(r, &h, func() error { fmt.Println("told to go on"); return nil },
 		func(bytes int) bool { return bytes < 300_000 })
-	var wrong *HTTPError
+	var httpErr *HTTPError
 	switch {
-	case errors.As(err, &wrong):
-		fmt.Println(wrong.Status, wrong)
+	case errors.As(err, &httpErr):
+		fmt.Println(httpErr.Status, httpErr)
 	case err != nil:
 		fmt.Println(err)
 	case t.GatewayPath != "":
 		fmt.Println("own", t.GatewayPath)
 	default:
 		fmt.Println(t.Profile, t.Effect, t.Budget, cmp.Or(string(t.Body), "-"))
-		fmt.Println(written(t.EncodeForHost(70 * time.Millisecond)))
+		fmt.Println(wireText(t.EncodeForHost(70 * time.Millisecond)))
 	}
 }
 
-func written(b net.Buffers) string {
+func wireText(b net.Buffers) string {
 	var all []byte
 	for _, part := range b {
 		all = append(all, part...)
@@ -39,16 +39,16 @@
 	return strings.ReplaceAll(string(all), "\r\n", "|")
 }
 
-const traced = "X-Trace-Id: 9b\r\nX-Expires-In-Ms: 480\r\n"
+const commonFields = "X-Trace-Id: 9b\r\nX-Expires-In-Ms: 480\r\n"
 
 // A transaction goes on with its line, its body and the fields that concern the host; those of the connection stay.
 func ExampleReadTransaction() {
-	show("POST /pay/1?x=2 HTTP/1.1\r\nHost: svc\r\nX-Qos: pay\r\n" + traced +
+	printParsed("POST /pay/1?x=2 HTTP/1.1\r\nHost: svc\r\nX-Qos: pay\r\n" + commonFields +
 		"Connection: close, X-Hop\r\nX-Hop: 1\r\nContent-Length: 3\r\n\r\nabc")
-	show("\r\nPOST /order HTTP/1.1\r\nIdempotency-Key: k\r\n" + traced +
+	printParsed("\r\nPOST /order HTTP/1.1\r\nIdempotency-Key: k\r\n" + commonFields +
 		"Transfer-Encoding: chunked\r\nExpect: 100-continue\r\n\r\n2;x=y\r\nab\r\n1\r\nc\r\n0\r\nT: r\r\n\r\n")
-	show("GET /read/7 HTTP/1.0\r\n" + traced + "\r\n")
-	show("GET /ready HTTP/1.1\r\n\r\n")
+	printParsed("GET /read/7 HTTP/1.0\r\n" + commonFields + "\r\n")
+	printParsed("GET /ready HTTP/1.1\r\n\r\n")
 	// Output:
 	// pay 2 480ms abc
 	// POST /pay/1?x=2 HTTP/1.1|Host: svc|X-Qos: pay|X-Trace-Id: 9b|X-Expires-In-Ms: 70|Content-Length: 3||abc
@@ -61,8 +61,8 @@
 }
 
 // What is malformed is told apart by its status, and none of it is taken.
-func ExampleReadTransaction_wrong() {
-	post := "POST /pay HTTP/1.1\r\n" + traced
+func ExampleReadTransaction_malformed() {
+	post := "POST /pay HTTP/1.1\r\n" + commonFields
 	for _, text := range []string{
 		"", "POST /pay HT", "POST /pay\r\n\r\n", "PO ST /pay HTTP/1.1\r\n\r\n", "POST /pay HTTP/2\r\n\r\n",
 		"POST /pay HTTP/1.1\r\nX-Qos : pay\r\n\r\n", "POST /pay HTTP/1.1\r\nA: b\r\n folded\r\n\r\n",
@@ -75,9 +75,9 @@
 		"POST /pay HTTP/1.1\r\nX-Qos: pay\r\n\r\n", "POST /pay HTTP/1.1\r\n\r\n",
 		"GET /read HTTP/1.1\r\nX-Trace-Id: 9b\r\n\r\n", "GET /read HTTP/1.1\r\nX-Trace-Id: 9b\r\nX-Expires-In-Ms: 0\r\n\r\n",
 		"GET /read HTTP/1.1\r\nX-Trace-Id: 9b\r\nX-Expires-In-Ms: 99999999\r\n\r\n",
-		"HEAD /read HTTP/1.1\r\n" + traced + "\r\n", post + "Idempotency-Key: \r\n\r\n",
+		"HEAD /read HTTP/1.1\r\n" + commonFields + "\r\n", post + "Idempotency-Key: \r\n\r\n",
 	} {
-		show(text)
+		printParsed(text)
 	}
 	// Output:
 	// EOF
@@ -130,17 +130,17 @@
 		"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nhi",
 	} {
 		var h Head
-		a, keep, err := ReadResponse(bufio.NewReader(strings.NewReader(text)), &h, false, func() {}, func(a *Response, rest *Body) error {
-			begin, framing := a.EncodeStreamStart(false, false)
+		response, keepAlive, err := ReadResponse(bufio.NewReader(strings.NewReader(text)), &h, false, func() {}, func(response *Response, rest *Body) error {
+			start, framing := response.EncodeStreamStart(false, false)
 			n, err := io.Copy(io.Discard, rest)
-			fmt.Println("streamed:", len(written(begin)) < 100, framing, len(a.Body), n, err)
+			fmt.Println("streamed:", len(wireText(start)) < 100, framing, len(response.Body), n, err)
 			return err
 		})
 		if err != nil {
 			fmt.Println("wrong:", err)
 			continue
 		}
-		fmt.Println(a.Status, a.NeverRan, a.Load, a.LoadErr, keep, written(a.EncodeForClient(!keep)))
+		fmt.Println(response.Status, response.NeverRan, response.Load, response.LoadErr, keepAlive, wireText(response.EncodeForClient(!keepAlive)))
 	}
 	// Output:
 	// 200 false {7 2 0.61 -1 -1} <nil> true HTTP/1.1 200 OK|A: b|Content-Length: 2||hi
@@ -189,15 +189,15 @@
 
 // A client is told when to come back only where the module says so.
 func ExampleTextResponse() {
-	fmt.Println(written(TextResponse(503, "no", 120*time.Millisecond, false)))
-	fmt.Println(written(TextResponse(504, "no", 0, true)))
+	fmt.Println(wireText(TextResponse(503, "no", 120*time.Millisecond, false)))
+	fmt.Println(wireText(TextResponse(504, "no", 0, true)))
 	// Output:
 	// HTTP/1.1 503 Service Unavailable|Content-Type: text/plain|Retry-After: 0.120|Content-Length: 2||no
 	// HTTP/1.1 504 Gateway Timeout|Content-Type: text/plain|Content-Length: 2|Connection: close||no
 }
 
 // What was read ahead of a body that goes from process to process is not lost where the second one ends before it has read any.
-func ExampleBodyState_twice() {
+func ExampleBodyState_resumedTwice() {
 	r := bufio.NewReader(strings.NewReader("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n6\r\nabcdef\r\n3\r\nghi\r\n0\r\n\r\n"))
 	var h Head
 	fmt.Println(h.ReadResponse(r))
--- a/internal/transport/conn_limit_test.go
+++ b/internal/transport/conn_limit_test.go
@@ -10,7 +10,7 @@
 // A connection to a host for which there is no socket just now waits for one, as clients that have only just come give way in a moment; one that
 // gets none in the time for connections says so, and not that its host is not there: that opened the breakers of good hosts.
 func ExampleConnLimit_Acquire() {
-	addr, end := script(func(nc net.Conn, r *bufio.Reader) {
+	addr, end := startScriptedHost(func(nc net.Conn, r *bufio.Reader) {
 		r.ReadString('\n')
 		fmt.Fprintln(nc, "answer")
 	})
@@ -19,16 +19,16 @@
 	p := NewPool(limit, 200*time.Millisecond, time.Second)
 	limit.TryAcquire()
 	time.AfterFunc(50*time.Millisecond, limit.Release)
-	talk(p, addr, "one", time.Second, false)
+	exchangeLine(p, addr, "one", time.Second, false)
 	p.CloseAllIdle()
-	until(func() bool { return limit.InUse() == 0 })
+	waitUntil(func() bool { return limit.InUse() == 0 })
 	limit.TryAcquire()
-	talk(p, addr, "none", time.Second, false)
+	exchangeLine(p, addr, "none", time.Second, false)
 	done := make(chan Outcome, 1)
 	x := &Exchange{Deadline: time.Now().Add(time.Second), OnDone: func(how Outcome) { done <- how }}
 	p.Start(Target{Addr: addr}, x)
 	x.Cancel()
-	fmt.Println("given up:", hows[<-done], "sockets:", limit.InUse())
+	fmt.Println("given up:", outcomeNames[<-done], "sockets:", limit.InUse())
 	// Output:
 	// one: answered "answer\n", 1 opened
 	// none: no room "", 1 opened
--- a/internal/transport/datagrams_test.go
+++ b/internal/transport/datagrams_test.go
@@ -13,7 +13,7 @@
 // A thousand gateways may send while this process has no core or its lock is held: what they send waits in the socket. With the
 // system's usual receive buffer all but the first 166 datagrams were dropped, and each ask for a host among them cost its request 100 ms.
 func TestDatagramsFromManySenders(t *testing.T) {
-	const senders, each, size = 1024, pendingDatagramsPerSender, 256
+	const senders, perSender, size = 1024, pendingDatagramsPerSender, 256
 	d, err := ListenDatagrams("127.0.0.1:0", senders)
 	if err != nil {
 		t.Fatal(err)
@@ -26,7 +26,7 @@
 			t.Fatal(err)
 		}
 		defer from.Close()
-		for range each {
+		for range perSender {
 			if _, err := from.Write(make([]byte, size)); err != nil {
 				t.Fatal(err)
 			}
@@ -42,7 +42,7 @@
 				t.Errorf("%d bytes from %v", len(msg), from)
 			}
 			bySender[from]++
-			if arrived++; arrived == senders*each {
+			if arrived++; arrived == senders*perSender {
 				d.Close()
 			}
 		})
@@ -53,21 +53,21 @@
 		d.Close()
 		<-served
 	}
-	wanted := min(senders*each, largestReadBuffer(t)/receiveBufferBytesPerDatagram)
-	if arrived < wanted || len(bySender) < wanted/each {
-		t.Errorf("%d datagrams of %d senders arrived, of %d of %d", arrived, len(bySender), senders*each, senders)
+	wantedCount := min(senders*perSender, maxReadBufferBytes(t)/receiveBufferBytesPerDatagram)
+	if arrived < wantedCount || len(bySender) < wantedCount/perSender {
+		t.Errorf("%d datagrams of %d senders arrived, of %d of %d", arrived, len(bySender), senders*perSender, senders)
 	}
 }
 
-// largestReadBuffer is the largest receive buffer that this system lets a process set.
-func largestReadBuffer(t *testing.T) int {
+// maxReadBufferBytes is the largest receive buffer that this system lets a process set.
+func maxReadBufferBytes(t *testing.T) int {
 	text, err := os.ReadFile("/proc/sys/net/core/rmem_max")
 	if err != nil {
 		t.Fatal(err)
 	}
-	most, err := strconv.Atoi(strings.TrimSpace(string(text)))
+	maxBytes, err := strconv.Atoi(strings.TrimSpace(string(text)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return most
+	return maxBytes
 }
--- a/internal/transport/line_test.go
+++ b/internal/transport/line_test.go
@@ -12,7 +12,7 @@
 // stops. Lost by the whole call's time, a list of ten thousand hosts was never had from a slow discovery (Example_restartedAtOnce).
 func ExampleDiscoveryConn_RoundTrip() {
 	const long = 300 << 10
-	addr, end := script(
+	addr, end := startScriptedHost(
 		func(nc net.Conn, r *bufio.Reader) {
 			for n := 0; n < long; n += long / 10 {
 				nc.Write(make([]byte, long/10))
@@ -29,16 +29,16 @@
 			io.Copy(io.Discard, nc)
 		})
 	defer end()
-	l := &DiscoveryConn{Addr: addr}
+	discovery := &DiscoveryConn{Addr: addr}
 	for _, what := range []string{"slowly", "dribbles", "stops"} {
-		began, got := time.Now(), 0
-		err := l.RoundTrip(net.Buffers{[]byte("go")}, 100*time.Millisecond, func(r *bufio.Reader) (bool, error) {
+		start, received := time.Now(), 0
+		err := discovery.RoundTrip(net.Buffers{[]byte("go")}, 100*time.Millisecond, func(r *bufio.Reader) (bool, error) {
 			n, err := io.ReadFull(r, make([]byte, long))
-			got = n
+			received = n
 			return false, err
 		})
-		took := time.Since(began)
-		fmt.Println(what+", all:", got == long, "lost:", err != nil, "over 0.4 s:", took > 400*time.Millisecond, "over 2.3 s:", took > 2300*time.Millisecond)
+		took := time.Since(start)
+		fmt.Println(what+", all:", received == long, "lost:", err != nil, "over 0.4 s:", took > 400*time.Millisecond, "over 2.3 s:", took > 2300*time.Millisecond)
 	}
 	// Output:
 	// slowly, all: true lost: false over 0.4 s: true over 2.3 s: false
--- a/internal/transport/rejected_test.go
+++ b/internal/transport/rejected_test.go
@@ -12,10 +12,10 @@
 	reject func()
 }
 
-func (e rejectingConn) SetReadDeadline(t time.Time) error {
-	err := e.TCPConn.SetReadDeadline(t)
+func (c rejectingConn) SetReadDeadline(t time.Time) error {
+	err := c.TCPConn.SetReadDeadline(t)
 	if t.IsZero() {
-		e.reject()
+		c.reject()
 	}
 	return err
 }
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -7,62 +7,62 @@
 	"time"
 )
 
-// script is a host of a few connections, each handled by the next of its functions.
-func script(conns ...func(nc net.Conn, r *bufio.Reader)) (addr string, end func()) {
+// startScriptedHost is a host of a few connections, each handled by the next of its functions.
+func startScriptedHost(handlers ...func(nc net.Conn, r *bufio.Reader)) (addr string, stop func()) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		panic(err)
 	}
 	go func() {
-		for _, serve := range conns {
+		for _, handle := range handlers {
 			nc, err := ln.Accept()
 			if err != nil {
 				return
 			}
 			go func() {
 				defer nc.Close()
-				serve(nc, bufio.NewReader(nc))
+				handle(nc, bufio.NewReader(nc))
 			}()
 		}
 	}()
 	return ln.Addr().String(), func() { ln.Close() }
 }
 
-// until waits for what is to come about, for 5 seconds at the most.
-func until(so func() bool) {
-	for end := time.Now().Add(ever); !so() && time.Now().Before(end); {
+// waitUntil waits for what is to come about, for 5 seconds at the most.
+func waitUntil(condition func() bool) {
+	for deadline := time.Now().Add(testTimeout); !condition() && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-const ever = 5 * time.Second
+const testTimeout = 5 * time.Second
 
-var hows = [...]string{"answered", "never up", "not written", "broken", "timed out", "given up", "no room", "withdrawn"}
+var outcomeNames = [...]string{"answered", "never up", "not written", "broken", "timed out", "given up", "no room", "withdrawn"}
 
-// talk sends one line and waits for how that ends.
-func talk(p *Pool, addr, line string, within time.Duration, giveUp bool) {
-	talkTo(p, Target{Addr: addr}, line, within, giveUp)
+// exchangeLine sends one line and waits for how that ends.
+func exchangeLine(pool *Pool, addr, line string, timeout time.Duration, cancel bool) {
+	exchangeLineWith(pool, Target{Addr: addr}, line, timeout, cancel)
 }
 
-func talkTo(p *Pool, to Target, line string, within time.Duration, giveUp bool) {
+func exchangeLineWith(pool *Pool, target Target, line string, timeout time.Duration, cancel bool) {
 	done, answer := make(chan Outcome, 2), ""
 	x := &Exchange{BuildMessage: func() net.Buffers { return net.Buffers{[]byte(line), []byte("\n")} },
-		Deadline: time.Now().Add(within), OnDone: func(how Outcome) { done <- how },
+		Deadline: time.Now().Add(timeout), OnDone: func(outcome Outcome) { done <- outcome },
 		ReadResponse: func(r *bufio.Reader) (bool, error) {
 			text, err := r.ReadString('\n')
 			answer = text
 			return true, err
 		}}
-	opened := p.Opened.Load()
-	p.Start(to, x)
-	if giveUp {
-		until(func() bool { return p.Opened.Load() > opened })
+	opened := pool.Opened.Load()
+	pool.Start(target, x)
+	if cancel {
+		waitUntil(func() bool { return pool.Opened.Load() > opened })
 		x.Cancel()
 	}
-	fmt.Printf("%s: %s %q, %d opened\n", line, hows[<-done], answer, p.Opened.Load())
+	fmt.Printf("%s: %s %q, %d opened\n", line, outcomeNames[<-done], answer, pool.Opened.Load())
 	select {
-	case how := <-done:
-		fmt.Println("ended twice:", hows[how])
+	case outcome := <-done:
+		fmt.Println("ended twice:", outcomeNames[outcome])
 	case <-time.After(5 * time.Millisecond):
 	}
 }
@@ -77,19 +77,19 @@
 	}
 	half := func(nc net.Conn, r *bufio.Reader) { r.ReadString('\n'); fmt.Fprint(nc, "hal") }
 	silent := func(nc net.Conn, r *bufio.Reader) { r.ReadString('\n'); r.ReadString('\n') }
-	addr, end := script(echo, half, silent, silent, echo)
-	p := NewPool(NewConnLimit(2), ever, time.Second)
-	talk(p, addr, "first", ever, false)
-	talk(p, addr, "on the same", ever, false)
+	addr, end := startScriptedHost(echo, half, silent, silent, echo)
+	p := NewPool(NewConnLimit(2), testTimeout, time.Second)
+	exchangeLine(p, addr, "first", testTimeout, false)
+	exchangeLine(p, addr, "on the same", testTimeout, false)
 	p.CloseIdleTo(Target{Addr: addr})
-	talk(p, addr, "cut", ever, false)
-	talk(p, addr, "hang", 300*time.Millisecond, false)
-	talk(p, addr, "called off", ever, true)
-	talk(p, addr, "on a new one", ever, false)
-	until(func() bool { return p.limit.InUse() == 0 }) // after half of what the host keeps one idle for
+	exchangeLine(p, addr, "cut", testTimeout, false)
+	exchangeLine(p, addr, "hang", 300*time.Millisecond, false)
+	exchangeLine(p, addr, "called off", testTimeout, true)
+	exchangeLine(p, addr, "on a new one", testTimeout, false)
+	waitUntil(func() bool { return p.limit.InUse() == 0 }) // after half of what the host keeps one idle for
 	end()
-	talk(p, addr, "closed", ever, false)
-	until(func() bool { return p.limit.InUse() == 0 })
+	exchangeLine(p, addr, "closed", testTimeout, false)
+	waitUntil(func() bool { return p.limit.InUse() == 0 })
 	fmt.Println("open:", p.limit.InUse())
 	// Output:
 	// first: answered "re first\n", 1 opened
@@ -111,16 +111,16 @@
 			}
 		}
 	}
-	addr, end := script(host("the first's"), host("the successor's"))
+	addr, end := startScriptedHost(host("the first's"), host("the successor's"))
 	defer end()
-	p := NewPool(NewConnLimit(3), ever, ever)
+	p := NewPool(NewConnLimit(3), testTimeout, testTimeout)
 	first, second := Target{1, addr}, Target{2, addr}
-	talkTo(p, first, "first", ever, false)
-	talkTo(p, second, "to its successor", ever, false)
-	talkTo(p, first, "second", ever, false)
+	exchangeLineWith(p, first, "first", testTimeout, false)
+	exchangeLineWith(p, second, "to its successor", testTimeout, false)
+	exchangeLineWith(p, first, "second", testTimeout, false)
 	p.CloseIdleTo(first)
 	p.CloseIdleTo(second)
-	until(func() bool { return p.limit.InUse() == 0 })
+	waitUntil(func() bool { return p.limit.InUse() == 0 })
 	fmt.Println("kept of hosts that have gone:", len(p.idle))
 	// Output:
 	// first: answered "the first's\n", 1 opened
@@ -131,8 +131,8 @@
 
 // What comes behind an answer is not read as the answer to the next message, even if it is sent before the connection's
 // goroutine has seen it; there is none here.
-func Example_behind() {
-	addr, end := script(func(nc net.Conn, r *bufio.Reader) { fmt.Fprintln(nc, "noise"); r.ReadByte() })
+func Example_bytesBehindResponse() {
+	addr, end := startScriptedHost(func(nc net.Conn, r *bufio.Reader) { fmt.Fprintln(nc, "noise"); r.ReadByte() })
 	defer end()
 	nc, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -140,14 +140,14 @@
 	}
 	defer nc.Close()
 	c := &hostConn{conn: nc, socket: socketStateOf(nc), reader: bufio.NewReader(nc)}
-	until(c.socket.readable)
-	fmt.Println("sent:", c.send(&Exchange{Deadline: time.Now().Add(ever), BuildMessage: func() net.Buffers { return nil }}))
+	waitUntil(c.socket.readable)
+	fmt.Println("sent:", c.send(&Exchange{Deadline: time.Now().Add(testTimeout), BuildMessage: func() net.Buffers { return nil }}))
 	// Output: sent: false
 }
 
 // An exchange given up before it is written is not written.
 func ExampleExchange_Cancel() {
-	addr, end := script(func(nc net.Conn, r *bufio.Reader) {
+	addr, end := startScriptedHost(func(nc net.Conn, r *bufio.Reader) {
 		line, _ := r.ReadString('\n')
 		fmt.Printf("host: %q\n", line)
 	})
@@ -155,8 +155,8 @@
 	done := make(chan Outcome)
 	x := &Exchange{Deadline: time.Now().Add(time.Second), OnDone: func(how Outcome) { done <- how }}
 	x.Cancel()
-	NewPool(NewConnLimit(2), ever, time.Second).Start(Target{Addr: addr}, x)
-	fmt.Println(hows[<-done])
+	NewPool(NewConnLimit(2), testTimeout, time.Second).Start(Target{Addr: addr}, x)
+	fmt.Println(outcomeNames[<-done])
 	// Output: withdrawn
 }
 
@@ -184,11 +184,11 @@
 	return l
 }
 
-func say(nc net.Conn, more string) {
+func sendGo(nc net.Conn, what string) {
 	fmt.Fprintln(nc, "go")
-	nc.SetReadDeadline(time.Now().Add(ever))
+	nc.SetReadDeadline(time.Now().Add(testTimeout))
 	text, _ := bufio.NewReader(nc).ReadString('\n')
-	fmt.Printf("go: %q, %s\n", text, more)
+	fmt.Printf("go: %q, %s\n", text, what)
 }
 
 // Clients that say nothing, or never all, give way before one that may come again; and one over the limit takes the place
@@ -198,11 +198,11 @@
 	dial := func() net.Conn {
 		accepted := l.Accepted.Load()
 		nc, _ := net.Dial("tcp", l.Addr())
-		until(func() bool { return l.Accepted.Load() > accepted })
+		waitUntil(func() bool { return l.Accepted.Load() > accepted })
 		return nc
 	}
-	waitForState := func(state connState, many int) { // an answer is read before the listener has seen that it is written
-		until(func() bool {
+	waitForState := func(state connState, count int) { // an answer is read before the listener has seen that it is written
+		waitUntil(func() bool {
 			l.mu.Lock()
 			defer l.mu.Unlock()
 			n := 0
@@ -211,38 +211,38 @@
 					n++
 				}
 			}
-			return n == many
+			return n == count
 		})
 	}
 	known := dial()
-	say(known, "known")
+	sendGo(known, "known")
 	dial()
 	waitForState(stateNew, 1)
 	time.Sleep(2 * newClientGrace)
 	half := dial()
-	say(half, "for one that said nothing")
+	sendGo(half, "for one that said nothing")
 	fmt.Fprint(half, "ha")
 	waitForState(stateReading, 1)
 	time.Sleep(partialRequestGrace + newClientGrace)
 	third := dial()
-	say(third, "for one that sent half")
-	say(known, "still there")
+	sendGo(third, "for one that sent half")
+	sendGo(known, "still there")
 	fmt.Fprintln(known, "stay")
 	fmt.Fprintln(third, "stay")
 	waitForState(stateActive, 2)
 	over := dial()
 	fmt.Fprintln(third, "go")
-	third.SetReadDeadline(time.Now().Add(ever))
+	third.SetReadDeadline(time.Now().Add(testTimeout))
 	answers := bufio.NewReader(third) // what stayed has its answer first, and is idle for an instant before the next
 	stayed, _ := answers.ReadString('\n')
 	text, _ := answers.ReadString('\n')
 	fmt.Printf("stay, go: %q, %q, answered, and soon idle\n", stayed, text)
 	waitForState(stateIdle, 1)
-	say(over, "over the room until it spoke")
+	sendGo(over, "over the room until it spoke")
 	l.Shutdown()
 	known.Close()
 	third.Close()
-	until(func() bool { return l.OpenClients() == 0 })
+	waitUntil(func() bool { return l.OpenClients() == 0 })
 	(&Client{listener: l, conn: over}).MarkIdle() // as of one whose client has left just before
 	fmt.Println("counted as idle when all have left:", l.idleClients)
 	// Output:
@@ -259,11 +259,11 @@
 // for whom there is no room is told so.
 func ExampleListener() {
 	limit := NewConnLimit(3)
-	addr, end := script(func(nc net.Conn, r *bufio.Reader) { r.ReadString('\n'); fmt.Fprintln(nc, "hi"); r.ReadByte() })
+	addr, end := startScriptedHost(func(nc net.Conn, r *bufio.Reader) { r.ReadString('\n'); fmt.Fprintln(nc, "hi"); r.ReadByte() })
 	defer end()
-	p := NewPool(limit, ever, time.Minute)
+	p := NewPool(limit, testTimeout, time.Minute)
 	l := startLineServer(limit, 3)
-	idle := func() (n int) {
+	idleClients := func() (n int) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		for c := range l.clients {
@@ -273,31 +273,31 @@
 		}
 		return n
 	}
-	stay := func(nc net.Conn, left int) { // so many are idle from then on
+	sendStay := func(nc net.Conn, idleLeft int) { // so many are idle from then on
 		fmt.Fprintln(nc, "stay")
-		until(func() bool { return idle() == left })
-		fmt.Println("held, idle:", idle())
+		waitUntil(func() bool { return idleClients() == idleLeft })
+		fmt.Println("held, idle:", idleClients())
 	}
-	dial := func(left int) net.Conn {
+	dial := func(idleLeft int) net.Conn {
 		nc, _ := net.Dial("tcp", l.Addr())
-		until(func() bool { return idle() == left })
+		waitUntil(func() bool { return idleClients() == idleLeft })
 		return nc
 	}
-	talk(p, addr, "to a host", ever, false)
+	exchangeLine(p, addr, "to a host", testTimeout, false)
 	first, second, third := dial(1), dial(2), dial(3)
-	stay(second, 2)
-	stay(third, 1)
+	sendStay(second, 2)
+	sendStay(third, 1)
 	fmt.Println("of hosts gave way:", p.Evicted.Load())
-	say(first, "is idle again")
-	until(func() bool { return idle() == 1 })
+	sendGo(first, "is idle again")
+	waitUntil(func() bool { return idleClients() == 1 })
 	fourth := dial(1)
-	stay(fourth, 0)
-	say(first, "closed, as it gave way")
-	say(dial(0), "over the room")
+	sendStay(fourth, 0)
+	sendGo(first, "closed, as it gave way")
+	sendGo(dial(0), "over the room")
 	second.Close()
 	third.Close()
 	fourth.Close()
-	until(func() bool { return limit.InUse() == 0 })
+	waitUntil(func() bool { return limit.InUse() == 0 })
 	fmt.Println("places taken when all have left:", limit.InUse())
 	l.Shutdown()
 	// Output:
