--- a/internal/protocol/body.go
+++ b/internal/protocol/body.go
@@ -8,18 +8,20 @@
 	"strconv"
 )
 
-// Body reads a message's body piece by piece as it comes; io.EOF is its proper end, perhaps with the last piece.
+// Body is an io.Reader of a message's body that decodes its framing. It returns io.EOF at the proper end of the
+// body, maybe together with the last bytes, and an HTTPError if the body ends before that, is malformed or is too
+// long.
 type Body struct {
 	reader          *bufio.Reader
 	framing         bodyFraming
-	remaining       int  // bytes of it, or of the chunk
-	maxRemaining    int  // bytes that it may bring yet
-	chunkEndPending bool // the end of one is to come yet
-	inTrailer       bool // only what follows the last chunk is to come
+	remaining       int  // bytes left of the body (framedByLength) or of the current chunk
+	maxRemaining    int  // bytes that the body may still have
+	chunkEndPending bool // the line end after the current chunk has not been read
+	inTrailer       bool // the last chunk has been read, the trailer fields not all
 	ended           bool
 }
 
-// Body is the message's body, after Skip, of most bytes at most.
+// Body returns a reader of the message's body, which may be at most maxBytes long. It is called after Discard.
 func (h *Head) Body(r *bufio.Reader, maxBytes int) *Body {
 	b := &Body{reader: r, framing: h.framing, maxRemaining: maxBytes}
 	if h.framing == framedByLength {
@@ -28,6 +30,7 @@
 	return b
 }
 
+// Read implements io.Reader.
 func (b *Body) Read(p []byte) (int, error) {
 	if b.framing == framedByChunks && b.remaining == 0 && !b.ended {
 		if err := b.nextChunk(); err != nil {
@@ -56,14 +59,15 @@
 	return n, asTruncated(err)
 }
 
-// Buffered tells whether some of it has been read and not looked at.
+// Buffered reports whether the read buffer holds bytes that Read has not returned.
 func (b *Body) Buffered() bool { return b.reader.Buffered() > 0 }
 
-// Remaining is how many bytes are left, where that is said.
+// Remaining returns the number of bytes that are left of the body; known is false if the message has no
+// Content-Length.
 func (b *Body) Remaining() (bytes int, known bool) { return b.remaining, b.framing == framedByLength }
 
-// nextChunk goes on to the next chunk, or over the end: trailers are dropped. Where what is read ends within a line for now, it goes on there the next
-// time.
+// nextChunk reads up to the data of the next chunk, or to the end of the body; trailer fields are dropped. If a
+// read fails within a line, for example at its deadline, the next call resumes at the start of that line.
 func (b *Body) nextChunk() error {
 	if b.chunkEndPending {
 		line, err := readLine(b.reader)
@@ -109,33 +113,37 @@
 	}
 }
 
-// BodyState is where the reading of a body stands between two pieces, for another process to go on with it.
+// BodyState is the state of a partly read Body, with which another process can read the rest. It is passed as
+// JSON to processes of other versions, so the JSON names are fixed.
 type BodyState struct {
-	Framing         int
+	Framing         int    // a bodyFraming
 	Remaining       int    `json:"Left"`
 	MaxRemaining    int    `json:"Most"`
 	ChunkEndPending bool   `json:"Chunk"`
 	InTrailer       bool   `json:"Trailer"`
-	ReadAhead       []byte `json:"Ahead"` // read and not looked at
+	ReadAhead       []byte `json:"Ahead"` // bytes in the read buffer that Read has not returned
 }
 
+// State returns the state of the body between two reads.
 func (b *Body) State() BodyState {
 	readAhead, _ := b.reader.Peek(b.reader.Buffered())
 	return BodyState{int(b.framing), b.remaining, b.maxRemaining, b.chunkEndPending, b.inTrailer, bytes.Clone(readAhead)}
 }
 
-// Resume goes on with a body; r brings what is not read ahead. It is nil where the state makes no sense.
+// Resume returns a Body that continues from the state; rest supplies the bytes that follow ReadAhead. It returns
+// nil if the state is not valid.
 func (s BodyState) Resume(rest io.Reader) *Body {
 	if framing := bodyFraming(s.Framing); framing < framedByLength || framing > framedByClose || s.Remaining < 0 || s.MaxRemaining < 0 || s.MaxRemaining > MaxBodyBytes {
 		return nil
 	}
 	reader := bufio.NewReaderSize(io.MultiReader(bytes.NewReader(s.ReadAhead), rest), max(resumeBufferBytes, len(s.ReadAhead)))
-	reader.Peek(len(s.ReadAhead)) // into the buffer, where State finds it again if this process ends as well
+	reader.Peek(len(s.ReadAhead)) // fills the buffer, where State finds the bytes if this process ends as well
 	return &Body{reader: reader, framing: bodyFraming(s.Framing),
 		remaining: s.Remaining, maxRemaining: s.MaxRemaining, chunkEndPending: s.ChunkEndPending, inTrailer: s.InTrailer, ended: bodyFraming(s.Framing) == framedByLength && s.Remaining == 0}
 }
 
-// ReadBody reads a message's body, after Skip, of most bytes at most.
+// ReadBody reads the whole body of a message. It fails if the body is longer than maxBytes. It is called after
+// Discard.
 func (h *Head) ReadBody(r *bufio.Reader, maxBytes int) ([]byte, error) {
 	if h.framing == framedByLength && h.contentLength > maxBytes {
 		return nil, errBodyTooLong
@@ -147,14 +155,15 @@
 	return body, err
 }
 
-// readAtMost reads so many bytes, and tells whether that is all.
+// readAtMost reads the body of a message with the given head into memory, and reports whether it is complete. Of a
+// body longer than maxBytes it reads one byte more than that.
 func (b *Body) readAtMost(maxBytes int, head *Head) (data []byte, complete bool, err error) {
 	if head.framing == framedByLength && head.contentLength <= min(MaxBufferedBodyBytes, maxBytes) {
 		data = make([]byte, head.contentLength)
 		_, err := io.ReadFull(b, data)
 		return data, true, asTruncated(err)
 	}
-	var buffer bytes.Buffer // grows as it comes: its length is only claimed
+	var buffer bytes.Buffer // grows as bytes arrive: a sender may claim a large length and send little
 	n, err := io.CopyN(&buffer, b, int64(maxBytes)+1)
 	if errors.Is(err, io.EOF) {
 		err = nil
@@ -162,6 +171,7 @@
 	return buffer.Bytes(), n <= int64(maxBytes) && b.ended, err
 }
 
+// asTruncated replaces the end of a connection within a message by errTruncated.
 func asTruncated(err error) error {
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		return errTruncated
@@ -169,7 +179,8 @@
 	return err
 }
 
-// readLine reads a line, or takes nothing: what is there of it stays to be read.
+// readLine reads a line and returns it without its CRLF. If the line is not complete when a read fails, nothing is
+// consumed. The line is valid until the next read.
 func readLine(r *bufio.Reader) ([]byte, error) {
 	for scanned := 0; ; {
 		buf, err := r.Peek(max(r.Buffered(), scanned+1))
@@ -191,7 +202,7 @@
 	}
 }
 
-// EncodeChunk is a piece of a body that is written in chunks; last is the end after the last one.
+// EncodeChunk encodes a piece of a body in the chunked coding, followed by the end of the body if last is set.
 func EncodeChunk(piece []byte, last bool) [][]byte {
 	var parts [][]byte
 	if len(piece) > 0 {
--- a/internal/protocol/encode.go
+++ b/internal/protocol/encode.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// The fields that this protocol adds to HTTP.
+// Header fields that this protocol adds to HTTP.
 const (
 	traceIDField        = "X-Trace-Id"
 	profileField        = "X-Qos"
@@ -19,11 +19,12 @@
 	loadReportField     = "Endpoint-Load-Metrics"
 )
 
-// Those that concern one connection only, or are written anew.
+// unforwardedFields are the header fields that concern a single connection, or that the gateway writes itself.
 var unforwardedFields = []string{"Connection", "Keep-Alive", "Proxy-Connection", "TE", "Trailer", "Transfer-Encoding",
 	"Upgrade", "Content-Length", "Expect", expiresInField, loadReportField, neverRanField}
 
-// appendForwardedFields copies the fields that go on to the other side.
+// appendForwardedFields appends the fields that are forwarded between client and host: all but unforwardedFields and
+// those that a Connection field names.
 func (h *Head) appendForwardedFields(dst []byte) []byte {
 next:
 	for _, f := range h.Fields {
@@ -42,7 +43,8 @@
 	return dst
 }
 
-// EncodeForHost is the transaction as it is written to a host, with the time for which the gateway will wait.
+// EncodeForHost returns the request as it is written to a host, with the time for which the gateway waits for the
+// response. If RemainingBody is set it is the beginning of the request, and EncodePiece encodes the rest.
 func (t *Transaction) EncodeForHost(timeout time.Duration) net.Buffers {
 	lastFields := make([]byte, 0, 80)
 	lastFields = append(lastFields, expiresInField+": "...)
@@ -58,7 +60,7 @@
 	return joinMessage(t.forwardedHead, append(lastFields, "\r\n\r\n"...), t.Body)
 }
 
-// EncodePiece is a further piece of the body as it is written to a host.
+// EncodePiece encodes a further piece of the body for a host. last marks the end of the body.
 func (t *Transaction) EncodePiece(piece []byte, last bool) net.Buffers {
 	if t.bodyLength < 0 {
 		return EncodeChunk(piece, last)
@@ -66,7 +68,7 @@
 	return net.Buffers{piece}
 }
 
-// joinMessage leaves out an empty body: a gathered write need not carry it.
+// joinMessage returns the parts of a message for one gathered write, without an empty body.
 func joinMessage(head, lastFields, body []byte) net.Buffers {
 	if len(body) == 0 {
 		return net.Buffers{head, lastFields}
@@ -74,15 +76,17 @@
 	return net.Buffers{head, lastFields, body}
 }
 
-// EncodeGet is a call without a body, as for probes and the list.
+// EncodeGet returns a GET request without a body, as for probes and the host list.
 func EncodeGet(target, host string) net.Buffers {
 	return net.Buffers{[]byte("GET " + target + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n")}
 }
 
-// ContinueResponse tells a client that waits for it to send the body.
+// ContinueResponse asks a client that sent "Expect: 100-continue" for the body.
 var ContinueResponse = []byte("HTTP/1.1 100 Continue\r\n\r\n")
 
-// TextResponse is an answer of the gateway's own; after is when to come back, 0 for no word on that.
+// TextResponse returns a response of the gateway itself to a client. retryAfter is the value of its Retry-After, which
+// is left out if that is 0. closeConn announces that the connection closes after the response, as in all functions
+// below.
 func TextResponse(status int, text string, retryAfter time.Duration, closeConn bool) net.Buffers {
 	head := append(appendStatusLine(nil, status), "Content-Type: text/plain\r\n"...)
 	if retryAfter > 0 {
@@ -92,7 +96,8 @@
 	return joinMessage(head, endHeadWithLength(len(text), closeConn), []byte(text))
 }
 
-// AdminResponse is the one answer to an operator's call, after which the connection closes; allow names the method that it should have had.
+// AdminResponse returns a response of the admin API, after which the connection closes. allow is the value of its Allow
+// field, which is left out if that is empty. A body that begins with a brace is sent as JSON.
 func AdminResponse(status int, allow string, body []byte) net.Buffers {
 	head := appendStatusLine(nil, status)
 	if allow != "" {
@@ -106,29 +111,33 @@
 	return joinMessage(head, endHeadWithLength(len(body), true), body)
 }
 
+// appendStatusLine appends the status line of a response.
 func appendStatusLine(dst []byte, status int) []byte {
 	dst = strconv.AppendInt(append(dst, "HTTP/1.1 "...), int64(status), 10)
 	return append(append(append(dst, ' '), http.StatusText(status)...), "\r\n"...)
 }
 
-// EncodeForClient is a host's answer as it is passed on. It says its length, whether or not its body comes with it.
+// EncodeForClient returns a host's response as it is forwarded to the client. It has a Content-Length if the length is
+// known, even without the body, as in the response to a HEAD.
 func (r *Response) EncodeForClient(closeConn bool) net.Buffers {
-	if r.bodyLength < 0 { // of one without a body
+	if r.bodyLength < 0 { // the response to a HEAD may lack the length
 		return net.Buffers{r.forwardedHead, endHead(nil, closeConn)}
 	}
 	return joinMessage(r.forwardedHead, endHeadWithLength(r.bodyLength, closeConn), r.Body)
 }
 
-// StreamFraming is how a streamed answer's end is told.
+// StreamFraming tells how the end of a streamed response is marked to the client. Its values are handed over to the
+// next process.
 type StreamFraming int
 
 const (
-	FramingLength  StreamFraming = iota // its length was said
-	FramingChunked                      // each piece says its length
-	FramingClose                        // the connection closes, as the client knows nothing else
+	FramingLength  StreamFraming = iota // by Content-Length
+	FramingChunked                      // by the chunked coding
+	FramingClose                        // by closing the connection, as the client uses HTTP/1.0
 )
 
-// EncodeStreamStart is a streamed answer's head as it is passed on, with what has come of its body.
+// EncodeStreamStart returns the head of a streamed response as it is forwarded, with what has been read of its body,
+// and the framing of what follows. http10 is set if the client uses HTTP/1.0.
 func (r *Response) EncodeStreamStart(http10, closeConn bool) (net.Buffers, StreamFraming) {
 	switch {
 	case r.bodyLength >= 0:
@@ -139,7 +148,7 @@
 	return append(net.Buffers{r.forwardedHead, endHead([]byte("Transfer-Encoding: chunked\r\n"), closeConn)}, EncodeChunk(r.Body, false)...), FramingChunked
 }
 
-// EncodePiece is a further piece of a streamed answer.
+// EncodePiece encodes a further piece of a streamed response. last marks its end.
 func (f StreamFraming) EncodePiece(piece []byte, last bool) net.Buffers {
 	if f == FramingChunked {
 		return EncodeChunk(piece, last)
@@ -147,6 +156,7 @@
 	return net.Buffers{piece}
 }
 
+// endHead appends the end of a head to its last fields.
 func endHead(lastFields []byte, closeConn bool) []byte {
 	if closeConn {
 		lastFields = append(lastFields, "Connection: close\r\n"...)
@@ -154,6 +164,7 @@
 	return append(lastFields, "\r\n"...)
 }
 
+// endHeadWithLength returns the end of a head, with a Content-Length.
 func endHeadWithLength(length int, closeConn bool) []byte {
 	lastFields := append(make([]byte, 0, 64), "Content-Length: "...)
 	lastFields = strconv.AppendInt(lastFields, int64(length), 10)
--- a/internal/protocol/head.go
+++ b/internal/protocol/head.go
@@ -1,5 +1,6 @@
-// Package protocol reads and writes HTTP/1.1 messages: what clients, hosts and discovery send, and what goes to
-// them. Heads are parsed where they lie in the reader's buffer.
+// Package protocol parses and encodes the HTTP/1.1 messages that the gateway exchanges with clients, hosts,
+// discovery and operators. A message consists of a head (start line and header fields) and a body. Heads are
+// parsed in place, in the reader's buffer.
 package protocol
 
 import (
@@ -12,16 +13,17 @@
 )
 
 const (
-	MaxBufferedBodyBytes      = 64 << 10  // bytes of a body that is held whole, whoever sends it
-	maxLargeBufferedBodyBytes = 2 << 20   // bytes of a client's that is, if there is room: a slow client must not bind a host
-	MaxBodyBytes              = 32 << 20  // bytes of any body, by the protocol
-	resumeBufferBytes         = 4 << 10   // bytes, for a body that another process began: the pieces are read past it
-	maxHostListBytes          = 4 << 20   // bytes of a list: some ten thousand hosts
-	maxInterimResponses       = 16        // heads of an answer, the last one included: hosts that work long send one now and then
-	maxBudgetMillis           = 3_600_000 // milliseconds: a client that says more has its units wrong
+	MaxBufferedBodyBytes      = 64 << 10  // longest body that is always buffered whole, of requests and responses
+	maxLargeBufferedBodyBytes = 2 << 20   // longest request body that is buffered whole if the buffer budget allows, so that a slow client does not occupy a host
+	MaxBodyBytes              = 32 << 20  // longest body that the protocol allows
+	resumeBufferBytes         = 4 << 10   // least read buffer of a resumed body (see BodyState.Resume); larger reads bypass it
+	maxHostListBytes          = 4 << 20   // longest host list: some ten thousand hosts
+	maxInterimResponses       = 16        // heads read for one response, the final one included: hosts that work for long send interim responses (1xx)
+	maxBudgetMillis           = 3_600_000 // longest time budget of a request: a client that sends more has its units wrong
 )
 
-// HTTPError is what is wrong with a message, with the status that its sender gets for it.
+// HTTPError says what is wrong with a message, with the status of the response to its sender. Text is the body
+// of that response.
 type HTTPError struct {
 	Status int
 	Text   string
@@ -29,7 +31,8 @@
 
 func (w *HTTPError) Error() string { return w.Text }
 
-// AsHTTPError is what is wrong with a message that could not be read, nil where its sender has gone or said nothing.
+// AsHTTPError returns the response to a message that could not be read because of err. It returns nil if there
+// is nothing to respond to: the sender has closed the connection or has sent nothing.
 func AsHTTPError(err error) *HTTPError {
 	var httpErr *HTTPError
 	switch {
@@ -54,10 +57,11 @@
 	errMalformedChunk = &HTTPError{400, "malformed chunk"}
 )
 
-// Field is one field of a head.
+// Field is one header field.
 type Field struct{ Name, Value []byte }
 
-// Head is a message's head. Its slices lie in the reader's buffer and hold until that is read from again.
+// Head is the parsed head of a request or response. Its slices point into the reader's buffer and are valid until
+// the next read from it. Method and Target are set by ReadRequest, Status by ReadResponse.
 type Head struct {
 	Method, Target []byte
 	Status         int
@@ -65,20 +69,22 @@
 	size           int
 	framing        bodyFraming
 	contentLength  int
-	HTTP10         bool // HTTP/1.0: it knows no chunks
+	HTTP10         bool // the sender uses HTTP/1.0 and does not understand the chunked coding
 	Close          bool // the sender closes the connection after this message
-	ExpectContinue bool // the sender waits to be told to go on with the body
+	ExpectContinue bool // the sender waits for "100 Continue" before it sends the body
 }
 
+// bodyFraming tells how the end of a body that is read is found. Its values are handed over to the next process
+// in BodyState.
 type bodyFraming int
 
 const (
-	framedByLength bodyFraming = iota
-	framedByChunks
-	framedByClose
+	framedByLength bodyFraming = iota // after Content-Length bytes, which may be none
+	framedByChunks                    // Transfer-Encoding: chunked
+	framedByClose                     // where the sender closes the connection
 )
 
-// Get is the value of the first field of that name.
+// Get returns the value of the first field of that name, in any case, and whether there is one.
 func (h *Head) Get(name string) ([]byte, bool) {
 	for _, f := range h.Fields {
 		if equalFold(f.Name, name) {
@@ -88,7 +94,7 @@
 	return nil, false
 }
 
-// hasDuplicate tells whether one of these fields comes more than once.
+// hasDuplicate reports whether one of these fields occurs more than once.
 func (h *Head) hasDuplicate(names ...string) bool {
 	for _, name := range names {
 		n := 0
@@ -104,6 +110,7 @@
 	return false
 }
 
+// equalFold reports whether a and b are equal under ASCII case folding.
 func equalFold(a []byte, b string) bool {
 	if len(a) != len(b) {
 		return false
@@ -123,7 +130,7 @@
 	return c
 }
 
-// ReadRequest reads the head of what a client sends; io.EOF is a connection that ended between messages.
+// ReadRequest reads the head of a request. It returns io.EOF if the connection was closed between messages.
 func (h *Head) ReadRequest(r *bufio.Reader) error {
 	line, err := h.readFields(r)
 	if err != nil {
@@ -138,7 +145,8 @@
 	return h.setFraming(version, framedByLength)
 }
 
-// ReadResponse reads the head of an answer; interim ones are passed over, but not without end.
+// ReadResponse reads the head of a response. Interim responses (1xx) before it are skipped, up to
+// maxInterimResponses heads in all.
 func (h *Head) ReadResponse(r *bufio.Reader) error {
 	for range maxInterimResponses {
 		line, err := h.readFields(r)
@@ -165,10 +173,11 @@
 	return errTooManyInterim
 }
 
-// readFields finds the head's end, splits its fields and gives its first line.
+// readFields waits until the buffer holds a whole head, parses its fields and returns its start line. The head
+// stays in the buffer, see Discard.
 func (h *Head) readFields(r *bufio.Reader) ([]byte, error) {
 	*h = Head{Fields: h.Fields[:0]}
-	for { // empty lines before a message are passed over
+	for { // skip empty lines before the message
 		b, err := r.Peek(2)
 		if err != nil {
 			if len(b) > 0 && errors.Is(err, io.EOF) {
@@ -215,7 +224,8 @@
 	return startLine, nil
 }
 
-// setFraming finds how long the body is.
+// setFraming sets the fields of the head that follow from the HTTP version and from the header fields about the
+// body and the connection. defaultFraming is that of a message without Content-Length and Transfer-Encoding.
 func (h *Head) setFraming(version []byte, defaultFraming bodyFraming) error {
 	if string(version) != "HTTP/1.1" && string(version) != "HTTP/1.0" {
 		return errHTTPVersion
@@ -243,7 +253,7 @@
 			h.ExpectContinue = equalFold(f.Value, "100-continue")
 		}
 	}
-	if isChunked && lengthFields > 0 { // two lengths are how messages are smuggled past a gateway
+	if isChunked && lengthFields > 0 { // both may be an attempt at request smuggling
 		return errContentLength
 	}
 	if isChunked {
@@ -252,7 +262,7 @@
 	return nil
 }
 
-// listContains tells whether a list of names, set apart by commas, holds one.
+// listContains reports whether a comma-separated list contains a name, in any case.
 func listContains(list []byte, name string) bool {
 	for len(list) > 0 {
 		var element []byte
@@ -264,6 +274,7 @@
 	return false
 }
 
+// isToken reports whether b is a token of the HTTP grammar, as methods and field names are.
 func isToken(b []byte) bool {
 	for _, c := range b {
 		if c <= ' ' || c >= 0x7f || bytes.IndexByte([]byte(`"(),/:;<=>?@[\]{}`), c) >= 0 {
@@ -273,10 +284,12 @@
 	return len(b) > 0
 }
 
+// isRequestTarget reports whether b contains neither spaces nor control characters.
 func isRequestTarget(b []byte) bool {
 	return !bytes.ContainsFunc(b, func(c rune) bool { return c <= ' ' || c == 0x7f })
 }
 
+// isFieldValue reports whether b contains no control character but tabs.
 func isFieldValue(b []byte) bool {
 	for _, c := range b {
 		if c < ' ' && c != '\t' || c == 0x7f {
@@ -286,7 +299,8 @@
 	return true
 }
 
-// Discard goes on to the body; the head's slices hold no longer.
+// Discard removes the head from the reader's buffer, so that the body comes next. The head's slices are no longer
+// valid then.
 func (h *Head) Discard(r *bufio.Reader) {
 	h.Method, h.Target, h.Fields = nil, nil, h.Fields[:0]
 	r.Discard(h.size)
--- a/internal/protocol/hostlist.go
+++ b/internal/protocol/hostlist.go
@@ -10,14 +10,15 @@
 	"spanmux/logic"
 )
 
-// HostList is what discovery tells.
+// HostList is a response of discovery: all hosts if Full is set, else those that have changed since the revision
+// that was asked for.
 type HostList struct {
 	Revision int64       `json:"rev"`
 	Full     bool        `json:"all"`
 	Hosts    []HostEntry `json:"targets"`
 }
 
-// HostEntry is a host of the list.
+// HostEntry describes one host of a HostList.
 type HostEntry struct {
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"`
@@ -29,14 +30,16 @@
 	BootMS   int64   `json:"boot_ms"`
 }
 
-// StateTerminating is the state of a host that drains.
+// StateTerminating is the State of a host that is draining.
 const StateTerminating = "terminating"
 
+// hostStates maps each State of a HostEntry to that of package logic.
 var hostStates = map[string]logic.HostState{
 	"in_service": logic.HostReady, StateTerminating: logic.HostDraining, "terminated": logic.HostGone,
 }
 
-// ParseHostList reads a list. One entry that makes no sense spoils it: it can't be told what else is wrong.
+// ParseHostList parses the JSON of a host list. An invalid entry fails the whole list, as there is no way to tell
+// whether the other entries are right.
 func ParseHostList(data []byte) (*HostList, error) {
 	list := &HostList{}
 	if err := json.Unmarshal(data, list); err != nil {
@@ -50,28 +53,30 @@
 	return list, nil
 }
 
-// Host is the entry as the module takes it; since is the time of a start on the module's clock.
+// Host converts the entry for package logic. startTime converts the time at which the host was started to that
+// package's clock.
 func (e *HostEntry) Host(id logic.HostID, startTime func(bootMS int64) time.Duration) logic.Host {
 	return logic.Host{ID: id, Zone: e.Zone, Kind: e.Model, Cell: e.Cell, State: hostStates[e.State],
 		CapacityHint: e.Size, StartedAt: startTime(e.BootMS)}
 }
 
-// What the calls without a transaction ask for.
+// Paths of requests that are not transactions.
 const (
-	HostListPath = "/v1/endpoints"
-	LoadPath     = "/status/load"
-	ReadyPath    = "/ready"
+	HostListPath = "/v1/endpoints" // discovery's host list
+	LoadPath     = "/status/load"  // a host's load report
+	ReadyPath    = "/ready"        // readiness of this gateway
 )
 
-// WatchTarget is the call for what changes after rev.
+// WatchTarget returns the request target of a long poll for changes of the host list after a revision: discovery
+// responds when there is one, or after the time to wait.
 func WatchTarget(revision int64, wait time.Duration) string {
 	return fmt.Sprintf("%s?index=%d&wait=%d", HostListPath, revision, wait.Milliseconds())
 }
 
-// IsTruncated tells whether a message ended before it was whole.
+// IsTruncated reports whether err is that of a message that ended before it was complete.
 func IsTruncated(err error) bool { return errors.Is(err, errTruncated) }
 
-// ReadHostList reads discovery's answer.
+// ReadHostList reads a response of discovery. keepAlive reports whether the connection can be used again.
 func ReadHostList(r *bufio.Reader) (body []byte, status int, keepAlive bool, err error) {
 	var h Head
 	if err := h.ReadResponse(r); err != nil {
--- a/internal/protocol/transaction.go
+++ b/internal/protocol/transaction.go
@@ -12,27 +12,29 @@
 	"spanmux/logic"
 )
 
-// Transaction is what a client asks for, in memory of its own. Own is the path of a call to the gateway itself.
+// Transaction is a client's request. It does not refer to the reader's buffer. A request to the gateway itself has
+// its path in GatewayPath, and neither trace ID nor profile; else GatewayPath is empty.
 type Transaction struct {
 	GatewayPath   string
 	TraceID       string
 	Profile       string
-	Effect        logic.Effect // as its method and mark have it
+	Effect        logic.Effect // follows from the method and the presence of an idempotency key
 	Tenant        string
 	Object        []byte
 	Budget        time.Duration
-	Body          []byte // all of it, or what came first
-	RemainingBody *Body  // what is to come yet, nil where all is in hand
-	HeadOnly      bool   // its answer has no body (HEAD)
-	HTTP10        bool   // its client knows no chunks
-	Close         bool
-	lengthGiven   bool   // its length was given, be it 0
-	bodyLength    int    // of all, -1 where that is not said
-	forwardedHead []byte // first line and fields as they go on
+	Body          []byte // the whole body, or its beginning if RemainingBody is set
+	RemainingBody *Body  // the part of the body that has not been read, nil if there is none
+	HeadOnly      bool   // HEAD: the response has no body
+	HTTP10        bool   // the client uses HTTP/1.0 and does not understand the chunked coding
+	Close         bool   // the client closes the connection after the response
+	lengthGiven   bool   // the head has a Content-Length, which may be 0, or the chunked coding
+	bodyLength    int    // Content-Length, -1 if there is none
+	forwardedHead []byte // start line and fields for the host, without the final empty line
 }
 
-// ReadTransaction reads one from a client; goOn is called where the client waits for that. A body over the usual size is held whole
-// where room says that there is room for so many bytes; else what is missing is its Rest.
+// ReadTransaction reads a request from a client. It calls sendContinue if the client waits for "100 Continue". A
+// body longer than MaxBufferedBodyBytes is read to its end if it is no longer than maxLargeBufferedBodyBytes and
+// reserveBuffer returns true for so many bytes; else the rest of it is left to be read in RemainingBody.
 func ReadTransaction(r *bufio.Reader, h *Head, sendContinue func() error, reserveBuffer func(bytes int) bool) (*Transaction, error) {
 	if err := h.ReadRequest(r); err != nil {
 		return nil, err
@@ -80,7 +82,7 @@
 	return t, err
 }
 
-// ReadAdminRequest reads a call to the gateway itself that may have a body of most bytes, which says nothing.
+// ReadAdminRequest reads a request to the admin API. Its body, of at most maxBodyBytes, is discarded.
 func ReadAdminRequest(r *bufio.Reader, maxBodyBytes int, sendContinue func() error) (method, path string, err error) {
 	var h Head
 	if err := h.ReadRequest(r); err != nil {
@@ -99,7 +101,7 @@
 	return method, path, err
 }
 
-// parseHead copies what the transaction needs of its head.
+// parseHead copies from the head what the transaction needs of it, and validates that.
 func (t *Transaction) parseHead(h *Head) error {
 	path, _, _ := bytes.Cut(h.Target, []byte("?"))
 	trace, hasTrace := h.Get(traceIDField)
@@ -121,15 +123,15 @@
 	switch {
 	case len(trace) == 0:
 		return &HTTPError{400, "no " + traceIDField}
-	case h.hasDuplicate(traceIDField, profileField, expiresInField, idempotencyKeyField): // a host might go by the other one
+	case h.hasDuplicate(traceIDField, profileField, expiresInField, idempotencyKeyField): // the host might use the other value
 		return &HTTPError{400, "a field given twice"}
-	case !bytes.Equal(profile, firstSegment): // ditto
+	case !bytes.Equal(profile, firstSegment): // the host might go by the path
 		return &HTTPError{400, "path not of this profile"}
 	case err != nil || budgetMillis == 0 || budgetMillis > maxBudgetMillis:
 		return &HTTPError{400, "missing or silly " + expiresInField}
 	case hasIdempotencyKey && len(idempotencyKey) == 0:
 		return &HTTPError{400, "empty " + idempotencyKeyField}
-	case (string(h.Method) == "GET" || t.HeadOnly) && (h.framing == framedByChunks || h.contentLength > 0): // a host might take it for a further message
+	case (string(h.Method) == "GET" || t.HeadOnly) && (h.framing == framedByChunks || h.contentLength > 0): // a host might take the body for another request
 		return &HTTPError{400, "body where there is none"}
 	case string(h.Method) == "GET" || t.HeadOnly:
 		t.Effect = logic.Idempotent
@@ -150,23 +152,28 @@
 	return nil
 }
 
-// Response is what a host answers.
+// Response is a host's response.
 type Response struct {
 	Status        int
-	NeverRan      bool // the host says that it has not begun
-	Declined      bool // the host can't use the transaction, and no other could
+	NeverRan      bool // the host says that it has not begun the transaction
+	Declined      bool // the host rejects the transaction as invalid, as any other host would
 	Load          logic.LoadReport
-	LoadErr       error // what is wrong with a report that came
-	Body          []byte
-	forwardedHead []byte
-	bodyLength    int // of the body where that is said, else -1
+	LoadErr       error  // non-nil if the response has a malformed load report
+	Body          []byte // the whole body, or its beginning if the response is streamed
+	forwardedHead []byte // status line and fields for the client, without the final empty line; nil if not to be forwarded
+	bodyLength    int    // Content-Length, or the length of a body that has been read whole; else -1
 }
 
+// errTooLongToBuffer is returned for a response that can neither be buffered nor streamed.
 var errTooLongToBuffer = &HTTPError{502, "too long to be held"}
 
-// ReadResponse reads one, to a transaction whose answer has no body if bare; keep tells whether the connection can carry more. One over the
-// usual size that may go to the client is handed to stream with what has come of it, if there is such; its head is sound. So is one that
-// does not say its size and is not whole by the time that soon sets to r: given up then, it would be cut off while its host gives it.
+// ReadResponse reads a host's response. headOnly is set if the request was a HEAD. keepAlive reports whether the
+// connection can be used again.
+//
+// stream, if not nil, is called for a response that may be forwarded and is not buffered whole, with what has been
+// read of its body and a reader of the rest; its head is valid. Such a response is longer than
+// MaxBufferedBodyBytes, or has no Content-Length and is not complete by the read deadline that limitReadTime sets on
+// the connection. Treating that deadline as an error would cut off a response that its host is still sending.
 func ReadResponse(r *bufio.Reader, h *Head, headOnly bool, limitReadTime func(), stream func(response *Response, body *Body) error) (response *Response, keepAlive bool, err error) {
 	if err := h.ReadResponse(r); err != nil {
 		if err == io.EOF {
@@ -180,8 +187,8 @@
 	if report, ok := h.Get(loadReportField); ok {
 		response.Load, response.LoadErr = ParseLoadReport(report)
 	}
-	// What a host finds wrong with a transaction is for the client to know. 408 and 429 tell of the host's own trouble,
-	// and 429 would promise the client that nothing has run.
+	// A host's verdict on the request is forwarded to the client. 408 and 429 are about the host's own condition, and
+	// 429 would promise the client that nothing has run.
 	response.Declined = response.Status >= 400 && response.Status < 500 && response.Status != 408 && response.Status != 429
 	forwardable := response.Status == 200 || response.Declined
 	if forwardable {
@@ -219,8 +226,8 @@
 	return response, !h.Close && err == nil, err
 }
 
-// ParseLoadReport reads a load report: figures set apart by commas, by the names of the sockets or of the settings. Others
-// are passed over.
+// ParseLoadReport parses a load report: comma-separated pairs name=value. A figure may have the name that hosts use
+// in HTTP or the one that the settings use; figures of other names are ignored.
 func ParseLoadReport(report []byte) (logic.LoadReport, error) {
 	load := logic.NoLoadReport
 	report = bytes.TrimSpace(bytes.TrimPrefix(bytes.TrimSpace(report), []byte("TEXT ")))
