--- a/internal/transport/client_read.go
+++ b/internal/transport/client_read.go
@@ -13,7 +13,7 @@
 var ErrShuttingDown = errors.New("not whole as the process ends")
 
 // readerPool holds the buffers of connections that are reading a request.
-var readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, clientBufferSize) }}
+var readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, clientReadBufferBytes) }}
 
 // releaseReader returns the buffer to the pool.
 func (c *Client) releaseReader() {
@@ -88,7 +88,7 @@
 func (r *pacedReader) Read(b []byte) (int, error) {
 	if r.received > 0 && !r.discarding.Load() {
 		deadline := r.readStart.Add(r.readTimeout + time.Duration(r.received)*time.Second/minBodyBytesPerSecond)
-		if r.received > clientBufferSize { // more than a head can be: within a body
+		if r.received > clientReadBufferBytes { // more than a head can be: within a body
 			deadline = earlier(deadline, time.Now().Add(bodySilenceTimeout))
 		}
 		if !(*Client)(r).setReadDeadline(deadline) {
--- a/internal/transport/client_write.go
+++ b/internal/transport/client_write.go
@@ -30,7 +30,7 @@
 func (c *Client) WriteStream(b net.Buffers, brief bool) (net.Buffers, error) {
 	timeout := streamWriteTimeout
 	if brief {
-		timeout = streamWriteBriefTimeout
+		timeout = briefStreamWriteTimeout
 	}
 	c.conn.SetWriteDeadline(time.Now().Add(timeout))
 	_, err := b.WriteTo(c.conn)
--- a/internal/transport/discovery_conn.go
+++ b/internal/transport/discovery_conn.go
@@ -77,7 +77,7 @@
 		conn.Close()
 		return nil, net.ErrClosed
 	}
-	d.conn, d.reader = conn, bufio.NewReaderSize(discoveryReader{d, conn}, discoveryBufferSize)
+	d.conn, d.reader = conn, bufio.NewReaderSize(discoveryReader{d, conn}, discoveryReadBufferBytes)
 	return conn, nil
 }
 
--- a/internal/transport/drain.go
+++ b/internal/transport/drain.go
@@ -20,7 +20,7 @@
 		return
 	}
 	if l.draining = draining; draining {
-		l.scheduleIdleCloses(drainFirstClose, drainLastClose)
+		l.scheduleIdleCloses(drainFirstCloseDelay, drainLastCloseDelay)
 	}
 }
 
@@ -53,7 +53,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.draining = true
-	l.scheduleIdleCloses(handoverFirstClose, handoverLastClose)
+	l.scheduleIdleCloses(handoverFirstCloseDelay, handoverLastCloseDelay)
 	l.reject(rejectUndispatched)
 }
 
--- a/internal/transport/handover.go
+++ b/internal/transport/handover.go
@@ -32,13 +32,13 @@
 	return &HandoverListener{ln}, nil
 }
 
-func (s *HandoverListener) Close() { s.ln.Close() }
+func (l *HandoverListener) Close() { l.ln.Close() }
 
 // Serve takes what is handed over, until Close: a note that says what it is, and bytes that go with it. Each may wait for room. What is
 // given back is the answer to a process that asks.
-func (s *HandoverListener) Serve(handle func(record, data []byte, conns []net.Conn) []byte) {
+func (l *HandoverListener) Serve(handle func(record, data []byte, conns []net.Conn) []byte) {
 	for {
-		conn, err := s.ln.AcceptUnix()
+		conn, err := l.ln.AcceptUnix()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
--- a/internal/transport/limits.go
+++ b/internal/transport/limits.go
@@ -4,11 +4,11 @@
 
 // Sizes and time limits of the package, each with its reason.
 const (
-	clientBufferSize              = 16 << 10                // bytes, read buffer of a client's connection: the longest head
-	hostBufferSize                = 8 << 10                 // bytes, read buffer of a host's connection: its heads are short
-	discoveryBufferSize           = 16 << 10                // bytes, read buffer of the line to discovery: a list of some dozen hosts
-	sendBufferSize                = 160 << 10               // bytes, socket send buffer: a whole message with its head, so that writing it does not block
-	hostIdleDivisor               = 2                       // hosts close idle connections after a known time; ours are dropped after this part of it, well before
+	clientReadBufferBytes         = 16 << 10                // bytes, read buffer of a client's connection: the longest head
+	hostReadBufferBytes           = 8 << 10                 // bytes, read buffer of a host's connection: its heads are short
+	discoveryReadBufferBytes      = 16 << 10                // bytes, read buffer of the line to discovery: a list of some dozen hosts
+	sendBufferBytes               = 160 << 10               // bytes, socket send buffer: a whole message with its head, so that writing it does not block
+	hostIdleTimeoutDivisor        = 2                       // hosts close idle connections after a known time; ours are dropped after this part of it, well before
 	discoveryConnectTimeout       = 2 * time.Second         // for the line to connect: a peer that vanished sends nothing, however long calls may wait
 	minDiscoveryBytesPerSecond    = 128 << 10               // bytes a second, least rate of a list that arrives: the longest takes half a minute
 	discoverySilenceTimeout       = 1500 * time.Millisecond // between two pieces of a list
@@ -24,13 +24,13 @@
 	bodySilenceTimeout            = 2 * time.Second         // between two pieces of a body: an honest client sends as it goes
 	streamWriteTimeout            = 10 * time.Second        // for one piece of a stream: a peer that takes nothing for so long is gone
 	stillWantedPollInterval       = 20 * time.Millisecond   // between checks whether a piece that a host does not take is still wanted: a client's close must be acted on within 0.1 s
-	streamWriteBriefTimeout       = 20 * time.Millisecond   // for one piece while the host sends more meanwhile: a socket's buffer fills in that time
+	briefStreamWriteTimeout       = 20 * time.Millisecond   // for one piece while the host sends more meanwhile: a socket's buffer fills in that time
 	maxBodyDuration               = time.Hour               // for a body to arrive: its least rate ends it far sooner
 	closeGrace                    = 50 * time.Millisecond   // for a request that has arrived on a connection about to close: some scheduling
-	drainFirstClose               = 300 * time.Millisecond  // after a drain begins: until then load balancers in front still send new clients
-	drainLastClose                = 1500 * time.Millisecond // by when the last idle connection is closed: none may be kept for 2 s
-	handoverFirstClose            = 10 * time.Millisecond   // after a handover begins: another process accepts at once
-	handoverLastClose             = 100 * time.Millisecond  // by when the last idle connection is closed: a slow client may need seconds for its request
+	drainFirstCloseDelay          = 300 * time.Millisecond  // after a drain begins: until then load balancers in front still send new clients
+	drainLastCloseDelay           = 1500 * time.Millisecond // by when the last idle connection is closed: none may be kept for 2 s
+	handoverFirstCloseDelay       = 10 * time.Millisecond   // after a handover begins: another process accepts at once
+	handoverLastCloseDelay        = 100 * time.Millisecond  // by when the last idle connection is closed: a slow client may need seconds for its request
 	handoverWriteTimeout          = time.Second             // for a handover to be taken: the other process is on this machine
 	queryProcessTimeout           = 200 * time.Millisecond  // for what the previous process has learnt: a start waits for it, and goes on without
 	handoverReadTimeout           = 5 * time.Second         // for all of a handover to arrive: the other process may get little of a core
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -95,7 +95,7 @@
 // while neither is to be had.
 func (l *Listener) admit(conn net.Conn) *Client {
 	l.Accepted.Add(1)
-	conn.(*net.TCPConn).SetWriteBuffer(sendBufferSize)
+	conn.(*net.TCPConn).SetWriteBuffer(sendBufferBytes)
 	c := &Client{listener: l, conn: conn, socket: socketStateOf(conn), acceptedAt: time.Now(), state: stateNew, stateSince: time.Now()}
 	for c.OverLimit = !l.acquireSlot(); c.OverLimit && !l.acquireOverLimit(); c.OverLimit = !l.acquireSlot() {
 		time.Sleep(acceptRetryDelay) // further connections wait in the kernel's accept queue meanwhile
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -34,7 +34,7 @@
 	Deadline     time.Time
 	// StillWanted is nil, or tells whether the message is still to be sent; it is asked as a connection is there. It may have been long in coming.
 	StillWanted  func() bool
-	ReadResponse func(*bufio.Reader) (keep bool, err error)
+	ReadResponse func(*bufio.Reader) (keepAlive bool, err error)
 	OnWritten    func() // nil, or called once the last byte of the message is written
 	OnDone       func(Outcome)
 	// StreamBody is nil, or takes what writes the rest where Message is only the beginning; it returns at once, and false where nothing
@@ -167,7 +167,7 @@
 }
 
 func NewPool(limit *ConnLimit, connectTimeout, hostIdleTimeout time.Duration) *Pool {
-	p := &Pool{limit: limit, Dial: (&net.Dialer{}).DialContext, connectTimeout: connectTimeout, idleTimeout: hostIdleTimeout / hostIdleDivisor, idle: map[Target][]*hostConn{}}
+	p := &Pool{limit: limit, Dial: (&net.Dialer{}).DialContext, connectTimeout: connectTimeout, idleTimeout: hostIdleTimeout / hostIdleTimeoutDivisor, idle: map[Target][]*hostConn{}}
 	limit.AddEvictor(p.evict)
 	return p
 }
@@ -323,8 +323,8 @@
 		x.OnDone(OutcomeWithdrawn)
 		return
 	}
-	conn.(*net.TCPConn).SetWriteBuffer(sendBufferSize)
-	c := &hostConn{pool: p, target: target, conn: conn, socket: socketStateOf(conn), reader: bufio.NewReaderSize(conn, hostBufferSize)}
+	conn.(*net.TCPConn).SetWriteBuffer(sendBufferBytes)
+	c := &hostConn{pool: p, target: target, conn: conn, socket: socketStateOf(conn), reader: bufio.NewReaderSize(conn, hostReadBufferBytes)}
 	if !c.send(x) { // its host speaks, or ends it, unasked
 		x.OnDone(OutcomeNotWritten)
 	}
