--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -36,7 +36,7 @@
 	stateSince    time.Time
 	sentRequest   bool // a request has been received on this connection
 	closed        bool // closed by the listener, with no response outstanding
-	pipelined     bool // some of the next request is in Reader
+	pipelined     bool // part of the next request is in Reader
 	waiting       bool // within WaitUnlessClosed or ReadWhileWaiting
 	woken         bool // Wake was called since
 	holdsSlot     bool // remove must release a slot of the connection limit
--- a/internal/transport/client_evict.go
+++ b/internal/transport/client_evict.go
@@ -21,7 +21,7 @@
 }
 
 // evict closes the evictable connection with the lowest state, among these the one that has been in it
-// longest, so that crowds of silent or half-sent connections don't cost others theirs. The slot of the closed
+// longest, so that many silent connections or partial requests don't cost other clients theirs. The slot of the closed
 // connection passes to the caller. It returns false if there is none to close.
 func (l *Listener) evict() bool {
 	l.mu.Lock()
--- a/internal/transport/client_read.go
+++ b/internal/transport/client_read.go
@@ -79,7 +79,7 @@
 }
 
 // pacedReader reads a client's requests under deadlines that move with what has arrived: beside the time for
-// the head a body gets a second for each bodyMinRate bytes, and may not pause for longer than
+// the head a body gets a second for each minBodyBytesPerSecond bytes, and may not pause for longer than
 // bodySilenceTimeout.
 type pacedReader Client
 
--- a/internal/transport/client_write.go
+++ b/internal/transport/client_write.go
@@ -24,7 +24,7 @@
 	return err
 }
 
-// WriteStream writes part of a streamed response within streamWriteTimeout, or within streamWriteBriefTimeout
+// WriteStream writes part of a streamed response within streamWriteTimeout, or within briefStreamWriteTimeout
 // if brief is set because there is something else to do meanwhile. It returns the bytes that were not
 // written.
 func (c *Client) WriteStream(b net.Buffers, brief bool) (net.Buffers, error) {
--- a/internal/transport/conn_limit.go
+++ b/internal/transport/conn_limit.go
@@ -1,5 +1,5 @@
 // Package transport holds the gateway's sockets: the clients' listener and its connections, the pool of
-// connections to hosts, the line to discovery, datagrams between gateways, handover to the next process, and
+// connections to hosts, the connection to discovery, datagrams between gateways, handover to the next process, and
 // the limit on all of them. It carries bytes and does not interpret them.
 package transport
 
@@ -53,7 +53,7 @@
 }
 
 // Acquire takes a slot as TryAcquire does, and waits for one until ctx ends; it returns false then. Callers
-// wait in turn. A wait is worth while even if no connection is idle: new clients become evictable within
+// wait in turn. A wait is worthwhile even if no connection is idle, as new clients become evictable within
 // milliseconds.
 func (l *ConnLimit) Acquire(ctx context.Context) bool {
 	if l.TryAcquire() {
--- a/internal/transport/datagrams.go
+++ b/internal/transport/datagrams.go
@@ -8,11 +8,11 @@
 	"syscall"
 )
 
-// DatagramSocket is the socket on which gateways tell each other.
+// DatagramSocket is the UDP socket for messages between gateways.
 type DatagramSocket struct{ conn *net.UDPConn }
 
-// ListenDatagrams opens the socket at an address. Its receive buffer is sized for so many senders that send at the same time, as far
-// as the system allows (net.core.rmem_max); where that is less, the log says so.
+// ListenDatagrams opens the socket at an address. Its receive buffer is sized for so many senders that send at the same
+// time, as far as the system allows (net.core.rmem_max); a smaller buffer is logged.
 func ListenDatagrams(addr string, senders int) (*DatagramSocket, error) {
 	udpAddr, err := net.ResolveUDPAddr("udp", addr)
 	if err != nil {
@@ -25,7 +25,7 @@
 	d := &DatagramSocket{conn}
 	wantedBytes := max(minPendingDatagrams, pendingDatagramsPerSender*senders) * receiveBufferBytesPerDatagram
 	if err := conn.SetReadBuffer(wantedBytes); err != nil {
-		slog.Warn("receive buffer of datagrams left as it was", "error", err)
+		slog.Warn("could not set the receive buffer for datagrams", "error", err)
 	}
 	if gotBytes := d.readBufferBytes(); gotBytes < wantedBytes {
 		slog.Warn("receive buffer of datagrams smaller than wanted", "bytes", gotBytes, "wanted", wantedBytes)
@@ -33,7 +33,8 @@
 	return d, nil
 }
 
-// readBufferBytes is the size of the receive buffer, in the bytes that it is set by; 0 where the system does not tell.
+// readBufferBytes returns the size of the receive buffer in the unit in which it is set, half of what the kernel
+// reports, or 0 if the kernel does not report it.
 func (d *DatagramSocket) readBufferBytes() int {
 	raw, err := d.conn.SyscallConn()
 	if err != nil {
@@ -54,7 +55,8 @@
 	return err
 }
 
-// Serve hands on what arrives, longer datagrams cut to one byte over most, until the socket is closed.
+// Serve calls handle for each datagram until the socket is closed. Datagrams longer than maxBytes are cut to one byte
+// more than that, so that handle can tell. msg is valid until handle returns.
 func (d *DatagramSocket) Serve(maxBytes int, handle func(from netip.AddrPort, msg []byte)) {
 	buf := make([]byte, maxBytes+1)
 	for {
--- a/internal/transport/discovery_conn.go
+++ b/internal/transport/discovery_conn.go
@@ -7,26 +7,30 @@
 	"time"
 )
 
-// DiscoveryConn is one connection that is used for call after call, one at a time. Close may come at any time.
+// DiscoveryConn sends requests to discovery, one after the other, on a connection that it opens when needed and keeps
+// open. Only Close may be called from another goroutine.
 type DiscoveryConn struct {
-	Addr   string
+	Addr   string // host:port
 	reader *bufio.Reader
 
 	mu     sync.Mutex
 	conn   net.Conn
 	closed bool
 
-	deadline time.Time // when the answer is late, but for what has come of it; the caller's, as is got
-	received int       // bytes of it
+	// Used by the goroutine in RoundTrip alone.
+	deadline time.Time // of the response, before it is extended for what has arrived of it
+	received int       // bytes of the response that have arrived
 }
 
-// discoveryReader reads an answer. One that comes may take its time, by how much has come: a list of ten thousand hosts is megabytes, and a
-// discovery that all call at once is slow. One that dribbles, or stops, is late all the same.
+// discoveryReader reads a response under a deadline that moves with the bytes received: a list of ten thousand hosts
+// has megabytes, and discovery is slow while all gateways call it at once. A response that arrives at less than
+// minDiscoveryBytesPerSecond, or pauses for longer than discoverySilenceTimeout, still fails.
 type discoveryReader struct {
 	owner *DiscoveryConn
 	conn  net.Conn
 }
 
+// Read implements io.Reader.
 func (r discoveryReader) Read(b []byte) (int, error) {
 	n, err := r.conn.Read(b)
 	if r.owner.received += n; n > 0 {
@@ -36,7 +40,9 @@
 	return n, err
 }
 
-// RoundTrip writes a message and has its answer read, both within a time, and what comes of a long answer by its pace; after an error the line begins anew.
+// RoundTrip writes a request and calls readResponse with a reader of the response. The response must begin within
+// timeout, and the rest arrive at a minimum rate (see discoveryReader). After an error, or if keepAlive is false, the
+// connection is closed, and the next call opens a new one.
 func (d *DiscoveryConn) RoundTrip(message net.Buffers, timeout time.Duration,
 	readResponse func(*bufio.Reader) (keepAlive bool, err error)) error {
 	deadline := time.Now().Add(timeout)
@@ -56,7 +62,7 @@
 	return err
 }
 
-// connect gives the connection, a new one where there is none.
+// connect returns the open connection, or opens one.
 func (d *DiscoveryConn) connect(timeout time.Duration) (net.Conn, error) {
 	d.mu.Lock()
 	conn, closed := d.conn, d.closed
@@ -73,7 +79,7 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.closed { // meanwhile
+	if d.closed { // while it was being opened
 		conn.Close()
 		return nil, net.ErrClosed
 	}
@@ -81,6 +87,7 @@
 	return conn, nil
 }
 
+// disconnect closes the connection, if it is open.
 func (d *DiscoveryConn) disconnect() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -90,7 +97,7 @@
 	}
 }
 
-// Close ends the line and the call that is out on it.
+// Close closes the connection for good, and ends a call of RoundTrip that is in progress.
 func (d *DiscoveryConn) Close() {
 	d.mu.Lock()
 	d.closed = true
--- a/internal/transport/drain.go
+++ b/internal/transport/drain.go
@@ -10,9 +10,9 @@
 
 // SetDraining starts or ends a drain. The listener stays open, as clients keep coming for a while. During a
 // drain responses are to say that the connection closes, and idle connections, which get no further response,
-// are closed one after the other between drainFirstClose and drainLastClose: all at once their clients would
-// arrive at the other gateways in one moment. Ending the drain does not keep open connections that were told
-// to close.
+// are closed one after the other between drainFirstCloseDelay and drainLastCloseDelay: closed all at once, their
+// clients would arrive at the other gateways in one moment. Ending the drain does not keep connections open whose
+// response has announced the close.
 func (l *Listener) SetDraining(draining bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -45,7 +45,7 @@
 }
 
 // HandOver stops accepting, which leaves connections that wait in the accept queue to the process that shares
-// the listening socket, closes idle connections within handoverLastClose, and goes on with the others until they
+// the listening socket, closes idle connections within handoverLastCloseDelay, and goes on with the others until they
 // have their response. Incomplete requests that have not been dispatched end with ErrShuttingDown from now on,
 // so that their handlers can pass them on.
 func (l *Listener) HandOver() {
@@ -62,7 +62,7 @@
 func (l *Listener) SetRetainBudget(bytes int64) { l.retainBudget.Store(bytes) }
 
 // RejectIncomplete ends the reading of all requests that are not complete, dispatched or not, with
-// ErrShuttingDown: a request that were completed later could not get its response before the process is
+// ErrShuttingDown: a request that is completed later could not get its response before the process is
 // killed.
 func (l *Listener) RejectIncomplete() {
 	l.mu.Lock()
--- a/internal/transport/handover.go
+++ b/internal/transport/handover.go
@@ -12,10 +12,11 @@
 	"time"
 )
 
-// HandoverListener is where a process takes connections over from the one that it replaces.
+// HandoverListener is a Unix socket on which a process accepts connections that the process which it replaces hands
+// over to it.
 type HandoverListener struct{ ln *net.UnixListener }
 
-// ListenHandover listens at a path; what a process before left there gives way.
+// ListenHandover listens at a path. It replaces a socket that a previous process has there.
 func ListenHandover(path string) (*HandoverListener, error) {
 	tempPath := fmt.Sprintf("%s.%d", path, os.Getpid())
 	os.Remove(tempPath)
@@ -23,7 +24,7 @@
 	if err != nil {
 		return nil, err
 	}
-	ln.SetUnlinkOnClose(false) // by then the path may be its successor's
+	ln.SetUnlinkOnClose(false) // by then the path may be that of the next process
 	if err := os.Rename(tempPath, path); err != nil {
 		ln.Close()
 		os.Remove(tempPath)
@@ -32,10 +33,12 @@
 	return &HandoverListener{ln}, nil
 }
 
+// Close closes the socket and ends Serve.
 func (l *HandoverListener) Close() { l.ln.Close() }
 
-// Serve takes what is handed over, until Close: a note that says what it is, and bytes that go with it. Each may wait for room. What is
-// given back is the answer to a process that asks.
+// Serve calls handle for each handover until Close: with a record that describes it, data that belongs to it, and the
+// connections. Each call is in a goroutine of its own and may block. Its result, if not nil, is the reply to
+// QueryProcess.
 func (l *HandoverListener) Serve(handle func(record, data []byte, conns []net.Conn) []byte) {
 	for {
 		conn, err := l.ln.AcceptUnix()
@@ -43,7 +46,7 @@
 			return
 		}
 		if err != nil {
-			slog.Warn("accept of what is handed over", "error", err)
+			slog.Warn("accept of a handover failed", "error", err)
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
@@ -51,7 +54,7 @@
 			defer conn.Close()
 			record, data, conns, err := receiveHandover(conn)
 			if err != nil {
-				slog.Warn("handed over, and not understood", "connections", len(conns), "error", err)
+				slog.Warn("invalid handover", "connections", len(conns), "error", err)
 				for _, client := range conns {
 					client.Close()
 				}
@@ -60,14 +63,15 @@
 			if reply := handle(record, data, conns); reply != nil {
 				conn.SetDeadline(time.Now().Add(handoverWriteTimeout))
 				parts := net.Buffers{encodeLengths(reply), reply}
-				parts.WriteTo(conn) // without it the other goes on as if it had not asked
+				parts.WriteTo(conn) // an error is ignored: the other process goes on without the reply
 			}
 		}()
 	}
 }
 
-// receiveHandover reads what is handed over: two lengths, with the connections, and so many bytes. All of it is this process's once it has come
-// whole, also where the one before does not wait to be told so: it has let go of them then.
+// receiveHandover reads a handover: the lengths of two parts, sent together with the connections' descriptors, and the
+// parts. This process owns the connections once it has received all of it, even if the previous process does not wait
+// for the acknowledgement, a byte 1: it has given them up by then.
 func receiveHandover(conn *net.UnixConn) (record, data []byte, conns []net.Conn, err error) {
 	conn.SetDeadline(time.Now().Add(handoverReadTimeout))
 	header, control := make([]byte, 8), make([]byte, syscall.CmsgSpace(4*4))
@@ -95,7 +99,7 @@
 	for i, part := range []*[]byte{&record, &data} {
 		length := binary.BigEndian.Uint32(header[4*i:])
 		if err == nil && length > maxHandoverBytes {
-			err = fmt.Errorf("%d bytes are handed over", length)
+			err = fmt.Errorf("handover part of %d bytes is too long", length)
 		}
 		if err == nil {
 			*part = make([]byte, length)
@@ -108,7 +112,7 @@
 	return record, data, conns, err
 }
 
-// encodeLengths is what goes before parts: how long each is.
+// encodeLengths returns the header of a message with so many parts: the length of each, as four bytes, big-endian.
 func encodeLengths(parts ...[]byte) (header []byte) {
 	for _, part := range parts {
 		header = binary.BigEndian.AppendUint32(header, uint32(len(part)))
@@ -116,7 +120,8 @@
 	return header
 }
 
-// QueryProcess asks the process that listens at the path, and gives back what it says; nil where there is none, or it has nothing to say.
+// QueryProcess sends a query to the process that listens at the path and returns its reply, or nil if there is no such
+// process or no reply in time.
 func QueryProcess(path string, query []byte) []byte {
 	conn, err := net.DialUnix("unix", nil, &net.UnixAddr{Name: path, Net: "unix"})
 	if err != nil {
@@ -127,7 +132,7 @@
 	if _, err := conn.Write(append(encodeLengths(query, nil), query...)); err != nil {
 		return nil
 	}
-	header := make([]byte, 5) // the word that all has come, and the length
+	header := make([]byte, 5) // the acknowledgement and the length of the reply
 	if _, err := io.ReadFull(conn, header); err != nil {
 		return nil
 	}
@@ -142,9 +147,9 @@
 	return reply
 }
 
-// HandOverClient passes a client's connection, and others that belong to it, on to the process that listens at the path; it is false where nobody
-// else does, or has not all of it. Once all is sent the connections are the other's, whether or not that says so in time: two may not
-// write to one client.
+// HandOverClient sends a client's connection, and others that belong to it, to the process that listens at the path. It
+// returns false if no other process listens there, or not all could be sent. Once all is sent the connections belong to
+// the other process, even if it does not acknowledge them in time: two processes must not write to one client.
 func HandOverClient(path string, record, data []byte, c *Client, others ...net.Conn) bool {
 	if max(len(record), len(data)) > maxHandoverBytes {
 		return false
@@ -154,7 +159,7 @@
 		return false
 	}
 	defer conn.Close()
-	if peerPID(conn) == os.Getpid() { // nobody has come to replace this process
+	if peerPID(conn) == os.Getpid() { // no other process has replaced this one as the listener
 		return false
 	}
 	conn.SetDeadline(time.Now().Add(handoverWriteTimeout))
@@ -177,8 +182,8 @@
 	return true
 }
 
-// withDescriptors calls do with the descriptors of connections, none of which can be closed meanwhile: one that gave way to another just then
-// would leave its number to a stranger's.
+// withDescriptors calls a function with the descriptors of connections, and keeps these from being closed meanwhile. The
+// descriptor of a connection that is evicted just then could otherwise already be that of another connection.
 func withDescriptors(conns []net.Conn, fds []int, call func(fds []int) error) error {
 	if len(conns) == 0 {
 		return call(fds)
@@ -192,6 +197,7 @@
 	return errors.Join(err, callErr)
 }
 
+// peerPID returns the ID of the process at the other end of a Unix socket, or 0 if it is not known.
 func peerPID(conn *net.UnixConn) (pid int) {
 	raw, err := conn.SyscallConn()
 	if err != nil {
@@ -205,7 +211,7 @@
 	return pid
 }
 
-// HostConn is the connection of an exchange whose answer goes on.
+// HostConn returns the connection of an exchange whose response is being read.
 func (x *Exchange) HostConn() net.Conn { return x.hostConn.conn }
 
 // Adopt registers a client's connection that the previous process handed over within a response, and calls
--- a/internal/transport/limits.go
+++ b/internal/transport/limits.go
@@ -2,43 +2,43 @@
 
 import "time"
 
-// Sizes and time limits of the package, each with its reason.
+// Sizes and time limits of the package.
 const (
-	clientReadBufferBytes         = 16 << 10                // bytes, read buffer of a client's connection: the longest head
-	hostReadBufferBytes           = 8 << 10                 // bytes, read buffer of a host's connection: its heads are short
-	discoveryReadBufferBytes      = 16 << 10                // bytes, read buffer of the line to discovery: a list of some dozen hosts
-	sendBufferBytes               = 160 << 10               // bytes, socket send buffer: a whole message with its head, so that writing it does not block
-	hostIdleTimeoutDivisor        = 2                       // hosts close idle connections after a known time; ours are dropped after this part of it, well before
-	discoveryConnectTimeout       = 2 * time.Second         // for the line to connect: a peer that vanished sends nothing, however long calls may wait
-	minDiscoveryBytesPerSecond    = 128 << 10               // bytes a second, least rate of a list that arrives: the longest takes half a minute
-	discoverySilenceTimeout       = 1500 * time.Millisecond // between two pieces of a list
-	acceptRetryDelay              = 5 * time.Millisecond    // after a failed accept, or while there is no slot: descriptors come free that fast
-	newClientTimeout              = 2 * time.Second         // for a new client to send its first byte: it connected in order to
-	clientIdleTimeout             = 4 * time.Second         // for which an idle connection is kept, as its client may send again: it costs a socket
-	idleClientsDivisor            = 5                       // one client slot in so many may be idle; beyond that the longest idle is closed
-	requestTimeout                = 2500 * time.Millisecond // for a request to arrive, the first from the accept on: a response is promised within 3 s
+	clientReadBufferBytes         = 16 << 10                // per client connection; also the longest head of a request
+	hostReadBufferBytes           = 8 << 10                 // per host connection: the heads of responses are short
+	discoveryReadBufferBytes      = 16 << 10                // for the connection to discovery: holds a list of some dozen hosts
+	sendBufferBytes               = 160 << 10               // socket send buffer: holds a whole message with its head, so that writing it does not block
+	hostIdleTimeoutDivisor        = 2                       // idle host connections are closed after this fraction of the time after which hosts close them, to be well ahead
+	discoveryConnectTimeout       = 2 * time.Second         // independent of the time that a response may take: a peer that has vanished never responds
+	minDiscoveryBytesPerSecond    = 128 << 10               // least rate of a host list that arrives: the longest takes half a minute
+	discoverySilenceTimeout       = 1500 * time.Millisecond // between two reads of a host list
+	acceptRetryDelay              = 5 * time.Millisecond    // after a failed accept, or while there is no slot: descriptors become free within about this time
+	newClientTimeout              = 2 * time.Second         // for a new client to send its first byte: it connected in order to send
+	clientIdleTimeout             = 4 * time.Second         // idle connections are kept as their clients may send again, and each costs a socket
+	idleClientsDivisor            = 5                       // one of this many client slots may be idle; beyond that the connection that has been idle longest is closed
+	requestTimeout                = 2500 * time.Millisecond // for a request to arrive, the first one from the accept on: a response is promised within 3 s
 	overLimitTimeout              = 250 * time.Millisecond  // for a client over the limit to send its request
-	newClientGrace                = 20 * time.Millisecond   // before a silent new client may be evicted: its request follows its connect at once
-	partialRequestGrace           = 250 * time.Millisecond  // before a partial request may be evicted: requests arrive in one piece as a rule
-	minBodyBytesPerSecond         = 48 << 10                // bytes a second, least rate of a body: 64 kB/s are promised by clients
-	bodySilenceTimeout            = 2 * time.Second         // between two pieces of a body: an honest client sends as it goes
-	streamWriteTimeout            = 10 * time.Second        // for one piece of a stream: a peer that takes nothing for so long is gone
-	stillWantedPollInterval       = 20 * time.Millisecond   // between checks whether a piece that a host does not take is still wanted: a client's close must be acted on within 0.1 s
-	briefStreamWriteTimeout       = 20 * time.Millisecond   // for one piece while the host sends more meanwhile: a socket's buffer fills in that time
-	maxBodyDuration               = time.Hour               // for a body to arrive: its least rate ends it far sooner
-	closeGrace                    = 50 * time.Millisecond   // for a request that has arrived on a connection about to close: some scheduling
-	drainFirstCloseDelay          = 300 * time.Millisecond  // after a drain begins: until then load balancers in front still send new clients
-	drainLastCloseDelay           = 1500 * time.Millisecond // by when the last idle connection is closed: none may be kept for 2 s
-	handoverFirstCloseDelay       = 10 * time.Millisecond   // after a handover begins: another process accepts at once
-	handoverLastCloseDelay        = 100 * time.Millisecond  // by when the last idle connection is closed: a slow client may need seconds for its request
-	handoverWriteTimeout          = time.Second             // for a handover to be taken: the other process is on this machine
-	queryProcessTimeout           = 200 * time.Millisecond  // for what the previous process has learnt: a start waits for it, and goes on without
-	handoverReadTimeout           = 5 * time.Second         // for all of a handover to arrive: the other process may get little of a core
-	maxHandoverBytes              = 3 << 20                 // bytes of one handover: mostly the longest body that is held whole
-	lingerTimeout                 = 500 * time.Millisecond  // for a client to read a last response before its connection is closed
-	maxLingerBytes                = 1 << 20                 // bytes discarded meanwhile: far more than any request has left
-	minWriteTimeout               = 500 * time.Millisecond  // for a response to be written: it fits the socket's buffer as a rule
-	pendingDatagramsPerSender     = 2                       // datagrams of each other gateway that may wait to be read: an ask and what is told meanwhile; more would be read after their senders gave up
-	minPendingDatagrams           = 400                     // of all senders together, at the least: a gateway that tells of a thousand hosts needs some forty at once
-	receiveBufferBytesPerDatagram = 640                     // bytes of SO_RCVBUF, which the kernel doubles, that a datagram of the longest size uses up, bookkeeping included, as measured on Linux
+	newClientGrace                = 20 * time.Millisecond   // before a silent new client may be evicted: as a rule the request follows the connect at once
+	partialRequestGrace           = 250 * time.Millisecond  // before a partial request may be evicted: as a rule requests arrive in one piece
+	minBodyBytesPerSecond         = 48 << 10                // least rate of a request body: clients promise 64 kB/s
+	bodySilenceTimeout            = 2 * time.Second         // between two reads of a request body: a well-behaved client sends steadily
+	streamWriteTimeout            = 10 * time.Second        // for one piece of a stream: a peer that accepts nothing for so long is gone
+	stillWantedPollInterval       = 20 * time.Millisecond   // between checks whether a piece that a host does not accept is still wanted: a client's close must take effect within 0.1 s
+	briefStreamWriteTimeout       = 20 * time.Millisecond   // for one piece while the host sends more: a socket's buffer fills in that time
+	maxBodyDuration               = time.Hour               // for a request body to arrive; its least rate ends it far sooner
+	closeGrace                    = 50 * time.Millisecond   // for a request that has arrived on a connection about to close: covers scheduling delays
+	drainFirstCloseDelay          = 300 * time.Millisecond  // from the start of a drain: load balancers in front send new clients until then
+	drainLastCloseDelay           = 1500 * time.Millisecond // from the start of a drain to the close of the last idle connection: none may be kept for 2 s
+	handoverFirstCloseDelay       = 10 * time.Millisecond   // from the start of a handover: another process accepts at once
+	handoverLastCloseDelay        = 100 * time.Millisecond  // from the start of a handover to the close of the last idle connection: a slow client may need seconds for its request
+	handoverWriteTimeout          = time.Second             // for the other process, on the same machine, to accept a handover
+	queryProcessTimeout           = 200 * time.Millisecond  // for what the previous process has learnt: the start waits for it, and goes on without it
+	handoverReadTimeout           = 5 * time.Second         // for a whole handover to arrive: the sending process may get little CPU time
+	maxHandoverBytes              = 3 << 20                 // for each part of a handover: mostly the longest body that is buffered whole
+	lingerTimeout                 = 500 * time.Millisecond  // for a client to read the last response before its connection is closed
+	maxLingerBytes                = 1 << 20                 // discarded meanwhile: far more than any request has left
+	minWriteTimeout               = 500 * time.Millisecond  // for a response to be written: as a rule it fits the socket's buffer
+	pendingDatagramsPerSender     = 2                       // datagrams of each peer gateway that may wait to be read: a remote pick request and the peer messages sent meanwhile; more would be read after their senders gave up
+	minPendingDatagrams           = 400                     // least capacity for datagrams of all senders: a gateway that reports on a thousand hosts needs some forty at once
+	receiveBufferBytesPerDatagram = 640                     // part of SO_RCVBUF (which the kernel doubles) that a datagram of the longest size uses on Linux, bookkeeping included
 )
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -23,7 +23,7 @@
 	clients           map[*Client]struct{}
 	admitted          int           // clients that are not over the limit
 	idleClients       int           // clients in stateIdle
-	overLimitSlots    chan struct{} // a semaphore: one element a connection over the limit
+	overLimitSlots    chan struct{} // a semaphore: one element per connection over the limit
 	closing           bool          // Shutdown was called
 	draining          bool          // responses say that the connection closes
 	accepting         atomic.Bool   // Serve runs: a connection may have been accepted and not be in clients yet
@@ -83,7 +83,7 @@
 			return
 		}
 		if err != nil {
-			slog.Warn("accept", "error", err)
+			slog.Warn("accept failed", "error", err)
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
@@ -109,7 +109,7 @@
 	return c
 }
 
-// acquireOverLimit takes one of the places for connections over the limit; it returns false if there is none.
+// acquireOverLimit takes one of the slots for connections over the limit; it returns false if there is none.
 func (l *Listener) acquireOverLimit() bool {
 	select {
 	case l.overLimitSlots <- struct{}{}:
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -14,64 +14,69 @@
 	"spanmux/internal/invariant"
 )
 
-// Outcome tells how an exchange ended.
+// Outcome is how an exchange ended.
 type Outcome int
 
 const (
-	OutcomeAnswered      Outcome = iota
-	OutcomeConnectFailed         // no connection
-	OutcomeNotWritten            // it broke before the last byte was written
-	OutcomeBroken                // it broke after that, or the answer made no sense
-	OutcomeTimedOut
-	OutcomeCancelled
-	OutcomeNoSlot    // this process had no socket for it: never ran, and its host knows nothing of it
-	OutcomeWithdrawn // given up before its last byte was written, or not wanted any more as it was to be: never ran
+	OutcomeAnswered      Outcome = iota // ReadResponse succeeded
+	OutcomeConnectFailed                // no connection could be opened
+	OutcomeNotWritten                   // the connection broke before the last byte of the message was written
+	OutcomeBroken                       // the connection broke after that, or the response was malformed
+	OutcomeTimedOut                     // no complete response by the deadline
+	OutcomeCancelled                    // cancelled after the last byte was written
+	OutcomeNoSlot                       // the connection limit left no slot for it: nothing has run, and the host was not contacted
+	OutcomeWithdrawn                    // cancelled, or no longer wanted, before the last byte was written: nothing has run
 )
 
-// Exchange is one message to a host and what comes back. Done is called exactly once.
+// Exchange is one message to a host and its response. OnDone is called exactly once.
 type Exchange struct {
-	BuildMessage func() net.Buffers // made when it is written, so that it can say what time is left
+	BuildMessage func() net.Buffers // called when the message is written, so that it can contain the time that is left
 	Deadline     time.Time
-	// StillWanted is nil, or tells whether the message is still to be sent; it is asked as a connection is there. It may have been long in coming.
+	// StillWanted, if not nil, reports whether the message is still to be sent. It is called at the start and again
+	// when a new connection is open, since that may have taken long.
 	StillWanted  func() bool
-	ReadResponse func(*bufio.Reader) (keepAlive bool, err error)
-	OnWritten    func() // nil, or called once the last byte of the message is written
-	OnDone       func(Outcome)
-	// StreamBody is nil, or takes what writes the rest where Message is only the beginning; it returns at once, and false where nothing
-	// is to be written any more. The time until which the exchange may take is given with the last piece.
+	ReadResponse func(*bufio.Reader) (keepAlive bool, err error) // keepAlive: the connection can be used again
+	OnWritten    func()                                          // called when the last byte of the message has been written; may be nil without StreamBody
+	OnDone       func(Outcome)                                   // called when the exchange has ended
+	// StreamBody is set if BuildMessage returns only the beginning of the message. It is called when that is written,
+	// with the writer for the rest, and returns without blocking; false ends the exchange. The time for the response
+	// is then given to BodyWriter.WriteLast.
 	StreamBody func(*BodyWriter) bool
-	// SlotWait is the time for which it waited for a socket of this process, which is none of its host's.
+	// SlotWait is the time that the exchange spent waiting for a slot of the connection limit, for which its host is
+	// not responsible.
 	SlotWait time.Duration
 
 	mu             sync.Mutex
 	cancelled      bool
-	lastWriteBegun bool // the last byte is written, or about to be
-	stop           func()
-	hostConn       *hostConn // from when the message is written
+	lastWriteBegun bool      // the last byte has been written or is about to be
+	stop           func()    // interrupts the exchange; nil before its start and after its end
+	hostConn       *hostConn // set when the message is written
 }
 
-// SetReadTimeout has what is read next of an answer that goes on come within a time.
+// SetReadTimeout sets the time for further reads of a response whose head has been read.
 func (x *Exchange) SetReadTimeout(timeout time.Duration) {
 	x.hostConn.conn.SetReadDeadline(time.Now().Add(timeout))
 }
 
-// FullyWritten tells, as its answer is read, whether the last byte of the message was written; if not, it never is.
+// FullyWritten reports whether the last byte of the message has been written. It is called while the response is read;
+// if it returns false the rest of the message is never written.
 func (x *Exchange) FullyWritten() bool { return x.hostConn.checkFullyWritten() }
 
-// BodyWriter writes what is left of a message.
+// BodyWriter writes the rest of a message that BuildMessage has begun.
 type BodyWriter struct {
 	hostConn *hostConn
 	exchange *Exchange
 }
 
-// ErrUnwanted is a piece that is not written to its end, as nobody wants it any more.
+// ErrUnwanted is returned by a write that ended early because the message is no longer wanted.
 var ErrUnwanted = errors.New("not wanted any more")
 
-// Write writes a further piece as long as it is wanted; nothing has run as long as the last one is missing. A host may take none for long.
+// Write writes a further piece, unless stillWanted returns false before it is written: a host may accept nothing for a
+// long time. The host runs nothing before it has the last piece.
 func (w *BodyWriter) Write(piece net.Buffers, stillWanted func() bool) error {
 	for deadline := time.Now().Add(streamWriteTimeout); ; {
 		w.hostConn.conn.SetWriteDeadline(time.Now().Add(stillWantedPollInterval))
-		_, err := piece.WriteTo(w.hostConn.conn) // what has gone is not in it any more
+		_, err := piece.WriteTo(w.hostConn.conn) // removes from piece what has been written
 		if errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(deadline) {
 			if stillWanted() {
 				continue
@@ -85,11 +90,12 @@
 	}
 }
 
-// Abort ends the connection before the last piece: nothing has run.
+// Abort closes the connection instead of writing the last piece, so that nothing has run.
 func (w *BodyWriter) Abort() { w.hostConn.conn.Close() }
 
-// WriteLast writes the last piece; the answer is to come within a time from then on. It is written under the connection's lock: a host that
-// has all of it, and ends the connection at once, must not be taken for one that never had.
+// WriteLast writes the last piece; the response must arrive within responseTimeout from then on. It holds the
+// connection's lock while it writes, so that a host which closes the connection as soon as it has the whole message is
+// not taken for one that never had it.
 func (w *BodyWriter) WriteLast(piece net.Buffers, responseTimeout time.Duration, stillWanted func() bool) error {
 	w.hostConn.mu.Lock()
 	defer w.hostConn.mu.Unlock()
@@ -99,7 +105,7 @@
 	err := w.Write(piece, stillWanted)
 	if errors.Is(err, ErrUnwanted) {
 		w.exchange.mu.Lock()
-		w.exchange.lastWriteBegun = false // it may be withdrawn yet
+		w.exchange.lastWriteBegun = false // the exchange may still be withdrawn
 		w.exchange.mu.Unlock()
 	}
 	if w.hostConn.fullyWritten = err == nil; w.hostConn.fullyWritten {
@@ -110,7 +116,7 @@
 	return err
 }
 
-// Cancel ends the exchange by closing its connection.
+// Cancel ends the exchange: it closes its connection, or stops the attempt to open one.
 func (x *Exchange) Cancel() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -120,7 +126,8 @@
 	}
 }
 
-// CancelIfUnwritten ends the exchange unless its last byte is written: nothing of it has run, and the host need not hear more.
+// CancelIfUnwritten ends the exchange unless the last byte of the message has been written or is about to be. A host
+// runs nothing before it has that, so the exchange ends with OutcomeWithdrawn.
 func (x *Exchange) CancelIfUnwritten() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -129,7 +136,8 @@
 	}
 }
 
-// beginLastWrite says that the last byte is about to be written; it is false where the exchange was given up before.
+// beginLastWrite records that the last byte of the message is about to be written. It returns false if the exchange was
+// cancelled before.
 func (x *Exchange) beginLastWrite() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -139,7 +147,7 @@
 
 func (x *Exchange) isWanted() bool { return x.StillWanted == nil || x.StillWanted() }
 
-// setStop says how the exchange is stopped from now on; it is false if that is due already.
+// setStop sets the function that interrupts the exchange. It returns false if the exchange is already cancelled.
 func (x *Exchange) setStop(stop func()) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -147,31 +155,35 @@
 	return !x.cancelled
 }
 
-// Target is a host as the pool knows it. Another host may come to the address of one that has gone: what is open to that
-// one must not serve it.
+// Target identifies a host in the pool. The host's ID is part of it because a new host may get the address of one that
+// is gone, and must not be served by connections to that one.
 type Target struct {
 	HostID uint32
 	Addr   string
 }
 
-// Pool keeps the connections to hosts. The one used last is used first, so that few are kept.
+// Pool holds the connections to hosts. Of the idle connections to a host the one used most recently is used first, so
+// that the others reach their idle time-out and few are kept.
 type Pool struct {
 	limit          *ConnLimit
-	Dial           func(ctx context.Context, network, addr string) (net.Conn, error) // opens one
-	connectTimeout time.Duration                                                     // for it to come up
-	idleTimeout    time.Duration                                                     // for which one is kept idle
+	Dial           func(ctx context.Context, network, addr string) (net.Conn, error) // opens a connection; a net.Dialer's by default
+	connectTimeout time.Duration                                                     // for opening a connection, the wait for a slot included
+	idleTimeout    time.Duration                                                     // for which an idle connection is kept
 	mu             sync.Mutex
-	idle           map[Target][]*hostConn
-	Opened         atomic.Int64
-	Evicted        atomic.Int64 // idle connections closed for others
+	idle           map[Target][]*hostConn // the one used most recently is last
+	Opened         atomic.Int64           // connections opened
+	Evicted        atomic.Int64           // idle connections closed so that others could have their slot
 }
 
+// NewPool returns a Pool whose connections take slots of limit. connectTimeout is the time for opening a connection;
+// hostIdleTimeout is the time after which hosts close idle connections.
 func NewPool(limit *ConnLimit, connectTimeout, hostIdleTimeout time.Duration) *Pool {
 	p := &Pool{limit: limit, Dial: (&net.Dialer{}).DialContext, connectTimeout: connectTimeout, idleTimeout: hostIdleTimeout / hostIdleTimeoutDivisor, idle: map[Target][]*hostConn{}}
 	limit.AddEvictor(p.evict)
 	return p
 }
 
+// hostConn is a connection to a host. It carries one exchange at a time.
 type hostConn struct {
 	pool   *Pool
 	target Target
@@ -179,16 +191,17 @@
 	socket socketState
 	reader *bufio.Reader
 
-	idleSince       time.Time // idle since then; guarded by the pool, as is slotTaken
-	slotTransferred bool      // its place under the limit is another's
+	// Guarded by the pool's lock.
+	idleSince       time.Time
+	slotTransferred bool // evicted: its slot of the connection limit belongs to another connection
 
 	mu           sync.Mutex // held while a message is written
-	exchange     *Exchange
-	fullyWritten bool // its last byte is written
-	dead         bool
+	exchange     *Exchange  // the exchange in progress, nil if there is none
+	fullyWritten bool       // the last byte of its message has been written
+	dead         bool       // the connection can't be used for another exchange
 }
 
-// Start sends an exchange to a host, on a connection that is idle or on a new one.
+// Start begins an exchange with a host, on an idle connection or a new one.
 func (p *Pool) Start(target Target, x *Exchange) {
 	if !x.isWanted() {
 		x.OnDone(OutcomeWithdrawn)
@@ -202,7 +215,7 @@
 	go p.dial(target, x)
 }
 
-// takeIdle gives the idle connection that was used last.
+// takeIdle removes and returns the idle connection to a host that was used most recently, or nil if there is none.
 func (p *Pool) takeIdle(target Target) *hostConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -215,6 +228,7 @@
 	return c
 }
 
+// putIdle makes a connection available for the next exchange, until its idle time-out.
 func (p *Pool) putIdle(c *hostConn) {
 	c.conn.SetReadDeadline(time.Now().Add(p.idleTimeout))
 	p.mu.Lock()
@@ -223,14 +237,15 @@
 	p.idle[c.target] = append(p.idle[c.target], c)
 }
 
-// setIdle is what is idle to a host from now on. Hosts come and go: one to which nothing is idle leaves no trace.
+// setIdle sets the idle connections to a host. Hosts without one have no entry, so that the map does not grow as hosts
+// come and go. The caller holds the lock.
 func (p *Pool) setIdle(target Target, idle []*hostConn) {
 	if p.idle[target] = idle; len(idle) == 0 {
 		delete(p.idle, target)
 	}
 }
 
-// remove forgets a connection that is closed.
+// remove closes a connection, and releases its slot unless that belongs to another connection.
 func (p *Pool) remove(c *hostConn) {
 	p.mu.Lock()
 	p.removeIdle(c)
@@ -242,6 +257,7 @@
 	}
 }
 
+// removeIdle removes a connection from the idle ones, if it is among them. The caller holds the lock.
 func (p *Pool) removeIdle(c *hostConn) {
 	idle := p.idle[c.target]
 	if i := slices.Index(idle, c); i >= 0 {
@@ -249,7 +265,8 @@
 	}
 }
 
-// evict closes the connection that has been idle longest.
+// evict closes the connection that has been idle longest, and leaves its slot to the caller. It returns false if none
+// is idle.
 func (p *Pool) evict() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -269,14 +286,14 @@
 	return true
 }
 
-// CloseIdleTo closes the idle connections to a host to which nothing more is sent.
+// CloseIdleTo closes the idle connections to a host, which gets no further messages.
 func (p *Pool) CloseIdleTo(target Target) {
 	for c := p.takeIdle(target); c != nil; c = p.takeIdle(target) {
 		c.conn.Close()
 	}
 }
 
-// CloseAllIdle closes all on which nothing is out.
+// CloseAllIdle closes all connections without an exchange.
 func (p *Pool) CloseAllIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -285,9 +302,10 @@
 			c.conn.Close()
 		}
 	}
-	p.idle = map[Target][]*hostConn{} // one that is closed must not be taken before it notices
+	p.idle = map[Target][]*hostConn{} // a closed connection must not be taken before its goroutine notices the close
 }
 
+// dial opens a connection for an exchange and serves it until it is closed.
 func (p *Pool) dial(target Target, x *Exchange) {
 	ctx, cancel := context.WithDeadline(context.Background(), earlier(x.Deadline, time.Now().Add(p.connectTimeout)))
 	defer cancel()
@@ -317,7 +335,7 @@
 		return
 	}
 	p.Opened.Add(1)
-	if !x.isWanted() { // it was long in coming up
+	if !x.isWanted() { // connecting may have taken long
 		conn.Close()
 		p.limit.Release()
 		x.OnDone(OutcomeWithdrawn)
@@ -325,7 +343,7 @@
 	}
 	conn.(*net.TCPConn).SetWriteBuffer(sendBufferBytes)
 	c := &hostConn{pool: p, target: target, conn: conn, socket: socketStateOf(conn), reader: bufio.NewReaderSize(conn, hostReadBufferBytes)}
-	if !c.send(x) { // its host speaks, or ends it, unasked
+	if !c.send(x) { // the host has sent something unasked, or closed the connection
 		x.OnDone(OutcomeNotWritten)
 	}
 	c.serve()
@@ -345,8 +363,9 @@
 	return a
 }
 
-// send writes the message; it is false if the connection has died idle, or is of no more use, and nothing was written. What
-// has come by then, behind an answer that was whole, must not be read as the answer to this message.
+// send writes the message of an exchange. It returns false, and writes nothing, if the connection can't be used: it was
+// closed while it was idle, or bytes have arrived behind the last response, which must not be read as the response to
+// this message.
 func (c *hostConn) send(x *Exchange) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -358,7 +377,7 @@
 	c.exchange, c.fullyWritten, x.hostConn = x, false, c
 	c.conn.SetDeadline(x.Deadline)
 	if !x.setStop(func() { c.conn.Close() }) || x.StreamBody == nil && !x.beginLastWrite() {
-		c.conn.Close() // its goroutine ends the exchange
+		c.conn.Close() // serve, which reads, ends the exchange
 		return true
 	}
 	message := x.BuildMessage()
@@ -380,7 +399,7 @@
 	return true
 }
 
-// serve reads: answers while a message is out, the host's closing while none is.
+// serve reads from the connection until it is closed: the response during an exchange, the host's close between two.
 func (c *hostConn) serve() {
 	defer c.pool.remove(c)
 	for {
@@ -409,9 +428,9 @@
 	}
 }
 
-// awaitedExchange gives the exchange that is out. Where none is, the connection is dead from then on: the host has closed it,
-// it has been idle for too long, or something came that nobody has asked for. late tells that the time for which it
-// may stand idle was over just as a message was sent.
+// awaitedExchange returns the exchange in progress when the wait for input has ended with err. If there is none the
+// connection is dead from then on: the host has closed it, its idle time-out has passed, or the host has sent something
+// unasked. idleExpired reports that the idle time-out passed just as a message was sent, so that the wait goes on.
 func (c *hostConn) awaitedExchange(err error) (x *Exchange, idleExpired bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -423,7 +442,8 @@
 	return c.exchange, false
 }
 
-// checkFullyWritten tells whether the last byte of the message was written; if not, it never is. A host may answer, or break off, before that.
+// checkFullyWritten reports whether the last byte of the message has been written; if not, it detaches the exchange so
+// that it never is. A host may respond, or close the connection, before it has the whole message.
 func (c *hostConn) checkFullyWritten() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -433,13 +453,14 @@
 	return c.fullyWritten
 }
 
+// clearExchange records that the exchange is over.
 func (c *hostConn) clearExchange() {
 	c.mu.Lock()
 	c.exchange = nil
 	c.mu.Unlock()
 }
 
-// finish tells how the exchange ended; from then on it can't be given up.
+// finish returns how the exchange ended, from the result of reading the response. It can't be cancelled from then on.
 func (x *Exchange) finish(err error, fullyWritten bool) Outcome {
 	x.mu.Lock()
 	defer x.mu.Unlock()
