--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// printParsed prints what one message is read as.
+// printParsed parses a request and prints the transaction, as parsed and as written to a host, or the error.
 func printParsed(text string) {
 	r := bufio.NewReaderSize(strings.NewReader(text), 256)
 	var h Head
@@ -31,6 +31,7 @@
 	}
 }
 
+// wireText returns the bytes that are sent, with | for each CRLF.
 func wireText(b net.Buffers) string {
 	var all []byte
 	for _, part := range b {
@@ -39,9 +40,11 @@
 	return strings.ReplaceAll(string(all), "\r\n", "|")
 }
 
+// commonFields are the fields that every transaction needs.
 const commonFields = "X-Trace-Id: 9b\r\nX-Expires-In-Ms: 480\r\n"
 
-// A transaction goes on with its line, its body and the fields that concern the host; those of the connection stay.
+// A transaction is forwarded with its request line, its body and the fields that concern the host, without those that
+// concern the client's connection.
 func ExampleReadTransaction() {
 	printParsed("POST /pay/1?x=2 HTTP/1.1\r\nHost: svc\r\nX-Qos: pay\r\n" + commonFields +
 		"Connection: close, X-Hop\r\nX-Hop: 1\r\nContent-Length: 3\r\n\r\nabc")
@@ -60,7 +63,7 @@
 	// own /ready
 }
 
-// What is malformed is told apart by its status, and none of it is taken.
+// Malformed requests are rejected, each with the status for its kind of error.
 func ExampleReadTransaction_malformed() {
 	post := "POST /pay HTTP/1.1\r\n" + commonFields
 	for _, text := range []string{
@@ -110,7 +113,7 @@
 	// 400 empty Idempotency-Key
 }
 
-// Only 503 or 504 with the field that says so proves that a transaction has never run.
+// Only a 503 or 504 with X-Never-Ran: 1 proves that a transaction has never run.
 func ExampleReadResponse() {
 	for _, text := range []string{
 		"HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: TEXT inflight=7, queue=2, util=0.61, other=1\r\nA: b\r\nContent-Length: 2\r\n\r\nhi",
@@ -167,7 +170,7 @@
 	// wrong: body too long
 }
 
-// A list with an entry that makes no sense is lost as a whole.
+// A list with an invalid entry is rejected as a whole.
 func ExampleParseHostList() {
 	for _, text := range []string{
 		`{"rev":3,"all":true,"targets":[{"uid":"s","endpoint":"h:1","az":"a","model":"m","pod_group":3,"state":"terminating","capacity_hint":1.5,"boot_ms":9}],"new":{}}`,
@@ -187,7 +190,7 @@
 	// list: unexpected end of JSON input
 }
 
-// A client is told when to come back only where the module says so.
+// Retry-After is sent only if a time is given.
 func ExampleTextResponse() {
 	fmt.Println(wireText(TextResponse(503, "no", 120*time.Millisecond, false)))
 	fmt.Println(wireText(TextResponse(504, "no", 0, true)))
@@ -196,7 +199,8 @@
 	// HTTP/1.1 504 Gateway Timeout|Content-Type: text/plain|Content-Length: 2|Connection: close||no
 }
 
-// What was read ahead of a body that goes from process to process is not lost where the second one ends before it has read any.
+// Guards against the loss of read-ahead bytes of a body that is handed over twice, where the second process ends before
+// it has read any of them.
 func ExampleBodyState_resumedTwice() {
 	r := bufio.NewReader(strings.NewReader("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n6\r\nabcdef\r\n3\r\nghi\r\n0\r\n\r\n"))
 	var h Head
--- a/internal/transport/client_reject_test.go
+++ b/internal/transport/client_reject_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// rejectingConn has its listener turn messages away in the instant in which the time to read one is lifted.
+// rejectingConn calls reject at the moment at which the read deadline is lifted.
 type rejectingConn struct {
 	*net.TCPConn
 	reject func()
@@ -20,9 +20,9 @@
 	return err
 }
 
-// A message has come whole as its process is told to end, or as that turns away what is not whole. It is taken, so its client is not to
-// be turned away: the time set for that, over at once, looked like the end of the client's connection, and the transaction ended with
-// no answer (one in ten runs of Example_replaced under load).
+// Guards against the rejection of a request that is complete, at the moment at which the process begins to reject
+// incomplete ones. If the read deadline that reject sets stayed in place it would look like the client's close, and the
+// transaction would end without a response. That happened in one of ten handover tests of package routing under load.
 func ExampleClient_MarkActive_rejected() {
 	for _, level := range []int32{rejectUndispatched, rejectIncomplete} {
 		ln, _ := net.Listen("tcp", "127.0.0.1:0")
@@ -40,7 +40,7 @@
 				l.reject(level)
 			}}
 			c.MarkActive()
-			time.AfterFunc(20*time.Millisecond, func() { c.conn.SetReadDeadline(time.Now()) }) // as when its answer has been idle for long
+			time.AfterFunc(20*time.Millisecond, func() { c.conn.SetReadDeadline(time.Now()) }) // as at the idle time-out after the response
 			began := time.Now()
 			c.WatchForClose(func() bool { return true })
 			fmt.Println("waits for its answer:", time.Since(began) >= 20*time.Millisecond)
--- a/internal/transport/conn_limit_test.go
+++ b/internal/transport/conn_limit_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// A connection to a host for which there is no socket just now waits for one, as clients that have only just come give way in a moment; one that
-// gets none in the time for connections says so, and not that its host is not there: that opened the breakers of good hosts.
+// An exchange waits for a slot if the connection limit has none free, as new clients become evictable within
+// milliseconds. If it gets none within the connect time-out it ends with OutcomeNoSlot. OutcomeConnectFailed, as if the
+// host were down, made the circuit breakers of healthy hosts open.
 func ExampleConnLimit_Acquire() {
 	addr, end := startScriptedHost(func(nc net.Conn, r *bufio.Reader) {
 		r.ReadString('\n')
--- a/internal/transport/datagrams_test.go
+++ b/internal/transport/datagrams_test.go
@@ -10,8 +10,9 @@
 	"time"
 )
 
-// A thousand gateways may send while this process has no core or its lock is held: what they send waits in the socket. With the
-// system's usual receive buffer all but the first 166 datagrams were dropped, and each ask for a host among them cost its request 100 ms.
+// A thousand gateways may send while this process gets no CPU time or its lock is held; their datagrams must wait in the
+// socket. With the system's default receive buffer all but the first 166 were dropped, and each remote pick request
+// among them delayed its transaction by 100 ms.
 func TestDatagramsFromManySenders(t *testing.T) {
 	const senders, perSender, size = 1024, pendingDatagramsPerSender, 256
 	d, err := ListenDatagrams("127.0.0.1:0", senders)
@@ -59,7 +60,7 @@
 	}
 }
 
-// maxReadBufferBytes is the largest receive buffer that this system lets a process set.
+// maxReadBufferBytes returns the largest receive buffer that the system lets a process set.
 func maxReadBufferBytes(t *testing.T) int {
 	text, err := os.ReadFile("/proc/sys/net/core/rmem_max")
 	if err != nil {
--- a/internal/transport/discovery_conn_test.go
+++ b/internal/transport/discovery_conn_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// A long list that comes slowly is heard to its end, well after a short answer would be late; one that dribbles is lost in time, and so is one that
-// stops. Lost by the whole call's time, a list of ten thousand hosts was never had from a slow discovery (Example_restartedAtOnce).
+// A long list that arrives slowly is read to its end, even if that takes longer than the time-out of the call. A response
+// that arrives at less than the minimum rate fails in time, and so does one that pauses. With a single time-out for the
+// whole call, a list of ten thousand hosts was never received from a slow discovery service.
 func ExampleDiscoveryConn_RoundTrip() {
 	const long = 300 << 10
 	addr, end := startScriptedHost(
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// startScriptedHost is a host of a few connections, each handled by the next of its functions.
+// startScriptedHost starts a host that accepts as many connections as there are handlers, and serves each with the next
+// one.
 func startScriptedHost(handlers ...func(nc net.Conn, r *bufio.Reader)) (addr string, stop func()) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -28,22 +29,26 @@
 	return ln.Addr().String(), func() { ln.Close() }
 }
 
-// waitUntil waits for what is to come about, for 5 seconds at the most.
+// waitUntil waits until condition returns true, for testTimeout at most.
 func waitUntil(condition func() bool) {
 	for deadline := time.Now().Add(testTimeout); !condition() && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
 }
 
+// testTimeout is longer than anything in these tests takes.
 const testTimeout = 5 * time.Second
 
+// outcomeNames are the names of the Outcomes, in their order.
 var outcomeNames = [...]string{"answered", "never up", "not written", "broken", "timed out", "given up", "no room", "withdrawn"}
 
-// exchangeLine sends one line and waits for how that ends.
+// exchangeLine sends a line to a host, reads a line as the response, and prints the outcome. If cancel is set it cancels
+// the exchange once its connection is open.
 func exchangeLine(pool *Pool, addr, line string, timeout time.Duration, cancel bool) {
 	exchangeLineWith(pool, Target{Addr: addr}, line, timeout, cancel)
 }
 
+// exchangeLineWith is exchangeLine for a given Target.
 func exchangeLineWith(pool *Pool, target Target, line string, timeout time.Duration, cancel bool) {
 	done, answer := make(chan Outcome, 2), ""
 	x := &Exchange{BuildMessage: func() net.Buffers { return net.Buffers{[]byte(line), []byte("\n")} },
@@ -67,8 +72,8 @@
 	}
 }
 
-// Each exchange ends once, and the end tells whether the host may have had all of it. An answer that comes after
-// an exchange was given up must not reach the next one, so that closes the connection.
+// Each exchange ends once, and its outcome tells whether the host may have received the whole message. Cancelling an
+// exchange closes its connection, so that a late response does not reach the next exchange.
 func ExamplePool() {
 	echo := func(nc net.Conn, r *bufio.Reader) {
 		for line, err := r.ReadString('\n'); err == nil; line, err = r.ReadString('\n') {
@@ -86,7 +91,7 @@
 	exchangeLine(p, addr, "hang", 300*time.Millisecond, false)
 	exchangeLine(p, addr, "called off", testTimeout, true)
 	exchangeLine(p, addr, "on a new one", testTimeout, false)
-	waitUntil(func() bool { return p.limit.InUse() == 0 }) // after half of what the host keeps one idle for
+	waitUntil(func() bool { return p.limit.InUse() == 0 }) // after half of the host's idle time-out
 	end()
 	exchangeLine(p, addr, "closed", testTimeout, false)
 	waitUntil(func() bool { return p.limit.InUse() == 0 })
@@ -102,7 +107,7 @@
 	// open: 0
 }
 
-// A host that comes to the address of another is another: what is open to that one does not serve it.
+// A host that gets the address of a previous host is not served by connections to that one.
 func ExamplePool_Start() {
 	host := func(answer string) func(net.Conn, *bufio.Reader) {
 		return func(nc net.Conn, r *bufio.Reader) {
@@ -129,8 +134,8 @@
 	// kept of hosts that have gone: 0
 }
 
-// What comes behind an answer is not read as the answer to the next message, even if it is sent before the connection's
-// goroutine has seen it; there is none here.
+// Bytes behind a response are not read as the response to the next message, even if that is sent before the goroutine
+// of the connection has noticed them. Here no such goroutine runs.
 func Example_bytesBehindResponse() {
 	addr, end := startScriptedHost(func(nc net.Conn, r *bufio.Reader) { fmt.Fprintln(nc, "noise"); r.ReadByte() })
 	defer end()
@@ -145,7 +150,7 @@
 	// Output: sent: false
 }
 
-// An exchange given up before it is written is not written.
+// An exchange that is cancelled before its message is written is never written.
 func ExampleExchange_Cancel() {
 	addr, end := startScriptedHost(func(nc net.Conn, r *bufio.Reader) {
 		line, _ := r.ReadString('\n')
@@ -160,7 +165,8 @@
 	// Output: withdrawn
 }
 
-// startLineServer is one that answers lines.
+// startLineServer starts a Listener that responds to lines: to "stay" only when the client sends more, to any other at
+// once.
 func startLineServer(limit *ConnLimit, maxClients int) *Listener {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -184,6 +190,7 @@
 	return l
 }
 
+// sendGo sends the line "go" and prints the response.
 func sendGo(nc net.Conn, what string) {
 	fmt.Fprintln(nc, "go")
 	nc.SetReadDeadline(time.Now().Add(testTimeout))
@@ -191,8 +198,9 @@
 	fmt.Printf("go: %q, %s\n", text, what)
 }
 
-// Clients that say nothing, or never all, give way before one that may come again; and one over the limit takes the place
-// of such a one as soon as it has said what it came for. Crowds of them would take all the room else.
+// Connections that send nothing or only part of a request are evicted before idle ones, whose clients may send again. A
+// connection over the limit gets the slot of an evictable one once it has sent its request. Else many silent
+// connections could hold all slots.
 func ExampleClient_MarkActive() {
 	l := startLineServer(NewConnLimit(2), 2)
 	dial := func() net.Conn {
@@ -201,7 +209,7 @@
 		waitUntil(func() bool { return l.Accepted.Load() > accepted })
 		return nc
 	}
-	waitForState := func(state connState, count int) { // an answer is read before the listener has seen that it is written
+	waitForState := func(state connState, count int) { // the client may read a response before the listener has recorded the new state
 		waitUntil(func() bool {
 			l.mu.Lock()
 			defer l.mu.Unlock()
@@ -233,7 +241,7 @@
 	over := dial()
 	fmt.Fprintln(third, "go")
 	third.SetReadDeadline(time.Now().Add(testTimeout))
-	answers := bufio.NewReader(third) // what stayed has its answer first, and is idle for an instant before the next
+	answers := bufio.NewReader(third) // the response to "stay" comes first; the connection is idle for an instant after it
 	stayed, _ := answers.ReadString('\n')
 	text, _ := answers.ReadString('\n')
 	fmt.Printf("stay, go: %q, %q, answered, and soon idle\n", stayed, text)
@@ -243,7 +251,7 @@
 	known.Close()
 	third.Close()
 	waitUntil(func() bool { return l.OpenClients() == 0 })
-	(&Client{listener: l, conn: over}).MarkIdle() // as of one whose client has left just before
+	(&Client{listener: l, conn: over}).MarkIdle() // as if its client had just disconnected
 	fmt.Println("counted as idle when all have left:", l.idleClients)
 	// Output:
 	// go: "ok\n", known
@@ -255,8 +263,8 @@
 	// counted as idle when all have left: 0
 }
 
-// Idle connections to hosts give way to clients, and idle clients to new ones; part of the room is for hosts. A client
-// for whom there is no room is told so.
+// Idle connections to hosts are evicted in favour of clients, and idle clients in favour of new ones; some
+// slots are reserved for hosts. A client for which there is no slot gets a response that says so.
 func ExampleListener() {
 	limit := NewConnLimit(3)
 	addr, end := startScriptedHost(func(nc net.Conn, r *bufio.Reader) { r.ReadString('\n'); fmt.Fprintln(nc, "hi"); r.ReadByte() })
@@ -273,7 +281,7 @@
 		}
 		return n
 	}
-	sendStay := func(nc net.Conn, idleLeft int) { // so many are idle from then on
+	sendStay := func(nc net.Conn, idleLeft int) { // idleLeft clients are idle from then on
 		fmt.Fprintln(nc, "stay")
 		waitUntil(func() bool { return idleClients() == idleLeft })
 		fmt.Println("held, idle:", idleClients())
