--- a/internal/protocol/head.go
+++ b/internal/protocol/head.go
@@ -29,7 +29,7 @@
 	Text   string
 }
 
-func (w *HTTPError) Error() string { return w.Text }
+func (e *HTTPError) Error() string { return e.Text }
 
 // AsHTTPError returns the response to a message that could not be read because of err. It returns nil if there
 // is nothing to respond to: the sender has closed the connection or has sent nothing.
