--- a/internal/transport/client_read.go
+++ b/internal/transport/client_read.go
@@ -10,7 +10,7 @@
 )
 
 // ErrShuttingDown is returned by reads of a request that is not complete as the process ends.
-var ErrShuttingDown = errors.New("not whole as the process ends")
+var ErrShuttingDown = errors.New("request incomplete as the process ends")
 
 // readerPool holds the buffers of connections that are reading a request.
 var readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, clientReadBufferBytes) }}
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -69,7 +69,7 @@
 }
 
 // ErrUnwanted is returned by a write that ended early because the message is no longer wanted.
-var ErrUnwanted = errors.New("not wanted any more")
+var ErrUnwanted = errors.New("message no longer wanted")
 
 // Write writes a further piece, unless stillWanted returns false before it is written: a host may accept nothing for a
 // long time. The host runs nothing before it has the last piece.
