--- a/internal/protocol/head.go
+++ b/internal/protocol/head.go
@@ -66,9 +66,9 @@
 	Method, Target []byte
 	Status         int
 	Fields         []Field
-	size           int
+	size           int // bytes of the head in the reader's buffer, 0 after Discard
 	framing        bodyFraming
-	contentLength  int
+	contentLength  int  // if framing is framedByLength
 	HTTP10         bool // the sender uses HTTP/1.0 and does not understand the chunked coding
 	Close          bool // the sender closes the connection after this message
 	ExpectContinue bool // the sender waits for "100 Continue" before it sends the body
--- a/internal/protocol/transaction.go
+++ b/internal/protocol/transaction.go
@@ -16,20 +16,20 @@
 // its path in GatewayPath, and neither trace ID nor profile; else GatewayPath is empty.
 type Transaction struct {
 	GatewayPath   string
-	TraceID       string
-	Profile       string
-	Effect        logic.Effect // follows from the method and the presence of an idempotency key
-	Tenant        string
-	Object        []byte
-	Budget        time.Duration
-	Body          []byte // the whole body, or its beginning if RemainingBody is set
-	RemainingBody *Body  // the part of the body that has not been read, nil if there is none
-	HeadOnly      bool   // HEAD: the response has no body
-	HTTP10        bool   // the client uses HTTP/1.0 and does not understand the chunked coding
-	Close         bool   // the client closes the connection after the response
-	lengthGiven   bool   // the head has a Content-Length, which may be 0, or the chunked coding
-	bodyLength    int    // Content-Length, -1 if there is none
-	forwardedHead []byte // start line and fields for the host, without the final empty line
+	TraceID       string        // X-Trace-Id
+	Profile       string        // request class: X-Qos, or else the first segment of the path
+	Effect        logic.Effect  // follows from the method and the presence of an idempotency key
+	Tenant        string        // X-Customer
+	Object        []byte        // X-Object: what the transaction concerns
+	Budget        time.Duration // X-Expires-In-Ms
+	Body          []byte        // the whole body, or its beginning if RemainingBody is set
+	RemainingBody *Body         // the part of the body that has not been read, nil if there is none
+	HeadOnly      bool          // HEAD: the response has no body
+	HTTP10        bool          // the client uses HTTP/1.0 and does not understand the chunked coding
+	Close         bool          // the client closes the connection after the response
+	lengthGiven   bool          // the head has a Content-Length, which may be 0, or the chunked coding
+	bodyLength    int           // Content-Length, -1 if there is none
+	forwardedHead []byte        // start line and fields for the host, without the final empty line
 }
 
 // ReadTransaction reads a request from a client. It calls sendContinue if the client waits for "100 Continue". A
