--- a/internal/protocol/transaction.go
+++ b/internal/protocol/transaction.go
@@ -20,7 +20,7 @@
 	Profile       string        // request class: X-Qos, or else the first segment of the path
 	Effect        logic.Effect  // follows from the method and the presence of an idempotency key
 	Tenant        string        // X-Customer
-	Object        []byte        // X-Object: what the transaction concerns
+	Object        []byte        // X-Object: key for host affinity
 	Budget        time.Duration // X-Expires-In-Ms
 	Body          []byte        // the whole body, or its beginning if RemainingBody is set
 	RemainingBody *Body         // the part of the body that has not been read, nil if there is none
