--- a/internal/transport/client_read.go
+++ b/internal/transport/client_read.go
@@ -10,10 +10,10 @@
 )
 
 // ErrShuttingDown is returned by reads of a request that is not complete as the process ends.
-var ErrShuttingDown = errors.New("not whole as the process ends")
+var ErrShuttingDown = errors.New("request incomplete as the process ends")
 
 // readerPool holds the buffers of connections that are reading a request.
-var readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, clientBufferSize) }}
+var readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, clientReadBufferBytes) }}
 
 // releaseReader returns the buffer to the pool.
 func (c *Client) releaseReader() {
@@ -79,7 +79,7 @@
 }
 
 // pacedReader reads a client's requests under deadlines that move with what has arrived: beside the time for
-// the head a body gets a second for each bodyMinRate bytes, and may not pause for longer than
+// the head a body gets a second for each minBodyBytesPerSecond bytes, and may not pause for longer than
 // bodySilenceTimeout.
 type pacedReader Client
 
@@ -88,7 +88,7 @@
 func (r *pacedReader) Read(b []byte) (int, error) {
 	if r.received > 0 && !r.discarding.Load() {
 		deadline := r.readStart.Add(r.readTimeout + time.Duration(r.received)*time.Second/minBodyBytesPerSecond)
-		if r.received > clientBufferSize { // more than a head can be: within a body
+		if r.received > clientReadBufferBytes { // more than a head can be: within a body
 			deadline = earlier(deadline, time.Now().Add(bodySilenceTimeout))
 		}
 		if !(*Client)(r).setReadDeadline(deadline) {
