--- a/logic/types.go
+++ b/logic/types.go
@@ -1,142 +1,162 @@
-// Package logic decides for one gateway which host each transaction goes to and how it ends.
-// This file holds the plain types and the interface by which it is called; logic.go decides.
+// Package logic is the decision core of the load balancer. For one gateway it decides which host each transaction
+// is sent to, whether a failed hop is retried, and how the transaction ends. It has no I/O, clock or goroutines: the
+// caller passes in events and the current time through Core and carries out the decisions through Executor.
+//
+// types.go holds these interfaces and the data that they exchange, logic.go the decisions, state.go what is stored
+// and how it is updated.
 package logic
 
 import "time"
 
 type (
-	TxID   uint64
+	// TxID identifies a transaction while it is open.
+	TxID uint64
+	// HostID identifies a host for as long as it is listed. 0 means no host.
 	HostID uint32
 )
 
-// Core is all that a protocol calls. Every call carries the time since the start; what the module
-// wants done it does through Doer before the call returns.
+// Core receives every event that a gateway's decisions depend on. In all methods now is the time since the process
+// started. Decisions are passed to the Executor before the method returns. Core isn't safe for concurrent use.
 type Core interface {
-	// HostListReceived takes the host list, or the changes to it, and keeps no part of the slice. A Lost list carries no hosts: the call for
-	// it failed.
+	// HostListReceived applies a host list, or the changes to it. It doesn't retain hosts. With ListFailed, which
+	// reports that the request for the list failed, hosts is empty.
 	HostListReceived(now time.Duration, kind ListKind, hosts []Host)
-	// TransactionReceived accepts a transaction, which is owed one final answer within its budget.
+	// TransactionReceived accepts a transaction. It gets exactly one final answer within its budget.
 	TransactionReceived(now time.Duration, id TxID, arrival Arrival)
-	// HopEnded reports the one outcome of a hop; over says that the transaction has its final answer.
+	// HopEnded reports the outcome of a hop, exactly once per hop. txAnswered tells that the transaction has its
+	// final answer.
 	HopEnded(now time.Duration, id TxID, hopIndex int, result HopResult, txAnswered bool)
-	// HopBodySent reports that the last byte of a hop has gone whose transaction was taken while its body was coming: its times count
-	// from now, and only from now on it is work for its host.
+	// HopBodySent reports that the last byte of a hop's request has been sent, for a transaction that arrived with
+	// its body pending. The hop's times are measured from now, and only from now on does it count as load on its host.
 	HopBodySent(now time.Duration, id TxID, hopIndex int)
-	// ResponseStarted reports that a streamed answer has begun: from here on the transaction is its host's.
+	// ResponseStarted reports that a streamed response has started. From then on the transaction can't be sent to
+	// another host.
 	ResponseStarted(now time.Duration, id TxID, hopIndex int)
-	// ClientLeft reports that nobody waits for a transaction any more.
+	// ClientLeft reports that the client no longer waits for a transaction.
 	ClientLeft(now time.Duration, id TxID)
-	// ProbeEnded brings the end of a probe: the load that the host reports, none where there is no answer.
+	// ProbeEnded reports the result of a probe: the load that the host reported, or NoLoadReport if it didn't answer.
 	ProbeEnded(now time.Duration, host HostID, load LoadReport)
-	// PeerMessageReceived brings what another gateway has told.
+	// PeerMessageReceived handles the entries of a message from the peer gateway with the index from.
 	PeerMessageReceived(now time.Duration, from int, entries []PeerEntry)
-	// Reconfigure brings other rules. Profiles keep their places, new ones come behind them; what is open keeps its own.
-	Reconfigure(now time.Duration, profiles []Profile, tenants []Tenant, coldRule ColdHostRule, drainRule DrainRule, hopRule HopRule, sources InformationSources,
-		costModel CostModel)
-	// AvoidedHosts tells how many hosts of the list get nothing new now; it changes nothing.
+	// Reconfigure replaces the configuration. Existing profiles keep their indexes and new ones are appended. Open
+	// transactions keep the profile and the hop limit that they started with.
+	Reconfigure(now time.Duration, profiles []Profile, tenants []Tenant, coldRule ColdHostRule, drainRule DrainRule,
+		hopRule HopRule, sources InformationSources, costModel CostModel)
+	// AvoidedHosts returns the number of listed hosts that get no new transactions. It changes no state.
 	AvoidedHosts() int
-	// TimerFired reports that a timer set through Doer has fallen due.
+	// TimerFired reports that a timer set through Executor.SetTimer has expired.
 	TimerFired(now time.Duration)
-	// ExportLearned is what was learnt so far, for a process that replaces this one; it changes nothing.
+	// ExportLearned returns what this process has learned, for the process that replaces it. It changes no state.
 	ExportLearned(now time.Duration) LearnedState
-	// ImportLearned takes in what such a process had learnt so long ago, of the profiles, kinds and hosts that are known here.
+	// ImportLearned takes over what a previous process exported age ago, for the profiles, kinds and hosts that are
+	// known here.
 	ImportLearned(now time.Duration, learned LearnedState, age time.Duration)
 }
 
-// LearnedState is what one process of a gateway can hand to the next. All spans are of time or from its own moment, as the clocks of two
-// processes differ.
+// LearnedState is what one process of a gateway hands to the process that replaces it, as JSON. All times in it are
+// durations, or relative to the moment of the export, because the clocks of the two processes differ.
 type LearnedState struct {
 	Profiles      []LearnedProfile
 	Kinds         []LearnedHostKind
 	Hosts         []LearnedHost
-	ErrorFraction SmoothedMean `json:"Errs"` // share of errors at all hosts
+	ErrorFraction SmoothedMean `json:"Errs"` // over all hosts
 }
 
-// SmoothedMean is a smoothed value and how many samples it trusts.
+// SmoothedMean is an exponentially weighted moving average and the number of samples behind it.
 type SmoothedMean struct {
 	Value   float64
 	Samples float64 `json:"N"`
 }
 
-// LearnedProfile is a profile's time with a core free and the least of late, nanoseconds.
+// LearnedProfile holds the service times of one profile in nanoseconds: a hop's time at a host of average speed with
+// a free core.
 type LearnedProfile struct {
 	Name                string
 	ServiceTime         SmoothedMean `json:"Work"`
-	LongTermServiceTime SmoothedMean `json:"Slow"`
-	MinServiceTimeNs    float64      `json:"Free"`
+	LongTermServiceTime SmoothedMean `json:"Slow"` // the same, averaged over far more responses
+	MinServiceTimeNs    float64      `json:"Free"` // recent minimum, as when hosts are idle
 }
 
-// LearnedHostKind is what was learnt of the hosts of one kind: hops at work in a full one, hops held and utilisation as cores fill, pace.
+// LearnedHostKind is what the hosts of one kind have in common.
 type LearnedHostKind struct {
 	Kind                 string
-	Slots                SmoothedMean `json:"Places"`
-	ServiceTimeRatio     SmoothedMean `json:"Pace"`
+	Slots                SmoothedMean `json:"Places"` // hops that a fully loaded host works on at once
+	ServiceTimeRatio     SmoothedMean `json:"Pace"`   // hop time relative to the usual one; above 1 is slower
 	MeanInFlight         SmoothedMean `json:"Usual"`
-	UncrowdedInFlight    SmoothedMean `json:"Held"`
-	UncrowdedUtilization SmoothedMean `json:"Busy"`
+	UncrowdedInFlight    SmoothedMean `json:"Held"` // in-flight count at hosts with free cores
+	UncrowdedUtilization SmoothedMean `json:"Busy"` // utilization of the same hosts
 }
 
-// LearnedHost is what was learnt of one host. Of one that has started since then nothing holds.
+// LearnedHost is what was learned of one host. It no longer applies to a host that has restarted since.
 type LearnedHost struct {
 	ID               HostID
-	Uptime           time.Duration `json:"Up"` // since it started, below zero where that is not known
+	Uptime           time.Duration `json:"Up"` // negative if the start time is unknown
 	Weight           float64
 	ServiceTimeRatio SmoothedMean `json:"Pace"`
 	Latency          SmoothedMean
-	BreakerOpenFor   time.Duration `json:"Open"`  // for which its breaker for all profiles still bars it, 0 where that is closed
-	BreakerCooldown  time.Duration `json:"Cool"`  // of the breaker's cooldown
-	ErrorFraction    float64       `json:"Share"` // of errors there
+	BreakerOpenFor   time.Duration `json:"Open"`  // remaining time of the breaker for all profiles, 0 if it is closed
+	BreakerCooldown  time.Duration `json:"Cool"`  // current cooldown of that breaker
+	ErrorFraction    float64       `json:"Share"` // of the hops to this host
 }
 
-// Executor is what a protocol does for the module.
+// Executor carries out the decisions of a Core.
 type Executor interface {
-	// SendHop sends the transaction to a host, for as long as wait; hops of a transaction count from 0.
+	// SendHop sends the transaction to a host and waits at most timeout for the outcome. The hops of a transaction
+	// are numbered from 0.
 	SendHop(id TxID, host HostID, timeout time.Duration)
+	// CallOff cancels a hop. Its end is still reported through Core.HopEnded.
 	CallOff(id TxID, hopIndex int)
-	// RollBack answers finally that nothing is left behind; the client may come back after the time given.
+	// RollBack sends the final answer that the transaction had no lasting effect. The client may retry after
+	// retryAfter.
 	RollBack(id TxID, retryAfter time.Duration)
-	// Abandon answers finally and promises nothing.
+	// Abandon sends the final answer that the outcome of the transaction is unknown.
 	Abandon(id TxID)
+	// Probe asks a host for its load. The result is reported through Core.ProbeEnded.
 	Probe(host HostID)
-	// CloseIdleConnections closes the connections to a host on which nothing is out.
+	// CloseIdleConnections closes the connections to a host that have no hop in flight.
 	CloseIdleConnections(host HostID)
-	// SendPeerMessage tells another gateway, or all with -1, what is out at hosts.
+	// SendPeerMessage sends entries to the peer gateway with the index to, or to all peers if to is -1.
 	SendPeerMessage(to int, entries []PeerEntry)
-	// RequestHostList asks for the list and for its changes from then on.
+	// RequestHostList requests the host list and, from then on, its changes.
 	RequestHostList()
+	// SetTimer calls Core.TimerFired after delay.
 	SetTimer(delay time.Duration)
+	// Log writes one line to the gateway's log.
 	Log(line string)
 }
 
-// PeerEntry is what one gateway tells another.
+// PeerEntry is one item of a message between gateways. Which fields are used, and how, depends on Kind.
 type PeerEntry struct {
 	Kind     PeerEntryKind
 	Host     HostID
-	InFlight int // out there; of an end, as many as were there when its hop was sent
-	Profile  int
+	InFlight int // hops at Host, with EntryHopEnded as of when the hop was sent; with EntryPickRequest the zone's index
+	Profile  int // index of the profile, for EntryHopEnded and the pick entries
 	Outcome  HopOutcome
-	Latency  time.Duration // of a sum: what the first profile takes at that host when it is free
+	Latency  time.Duration // of the ended hop; with EntryAggregate what a hop of profile 0 takes at Host when it is idle
 }
 
+// PeerEntryKind tells what a PeerEntry means. The values are sent over the wire.
 type PeerEntryKind int
 
 const (
-	EntryInFlight     PeerEntryKind = iota // hops that the gateway has out at the host
-	EntryAggregate                         // hops of all gateways there
-	EntryHopEnded                          // how one hop there ended
-	EntryPickRequest                       // for a host for a transaction
-	EntryPickResponse                      // the host, none where it is better rolled back
+	EntryInFlight     PeerEntryKind = iota // hops that the sender has in flight at the host
+	EntryAggregate                         // hops of all gateways at the host, from its zone's coordinator
+	EntryHopEnded                          // outcome of one hop of the sender
+	EntryPickRequest                       // asks the zone's coordinator for a host for one transaction
+	EntryPickResponse                      // the host picked, 0 if the transaction should be rolled back
 )
 
+// ListKind tells how a host list is to be applied.
 type ListKind int
 
 const (
-	ListChanges ListKind = iota
-	ListComplete
-	ListCached
-	ListFailed
+	ListChanges  ListKind = iota // only the hosts that changed, including those that are gone
+	ListComplete                 // all hosts; those not in it are gone
+	ListCached                   // a complete list that may be old, such as one known before discovery has answered
+	ListFailed                   // no list: the request for it failed
 )
 
+// HostState is the state of a host in discovery.
 type HostState int
 
 const (
@@ -145,83 +165,84 @@
 	HostDraining
 )
 
-// Host is an entry of the list. Started is zero for a host that has run for long; Size is to be compared with other hosts' only,
-// and Sources.Sizes says what it stands for.
+// Host is an entry of the host list.
 type Host struct {
 	ID           HostID
 	Zone         string
-	Kind         string
+	Kind         string // hosts of the same kind are expected to perform alike
 	Cell         int
 	State        HostState
-	CapacityHint float64
-	StartedAt    time.Duration
+	CapacityHint float64       // relative to other hosts only; InformationSources.CapacityHints tells what it measures
+	StartedAt    time.Duration // 0 if the host has been running for long
 }
 
+// Effect tells whether a transaction may run more than once.
 type Effect int
 
 const (
-	Idempotent Effect = iota
-	Journalled
-	NonIdempotent
+	Idempotent    Effect = iota
+	Journalled           // hosts drop repeats, within Profile.DedupScope and Profile.DedupWindow
+	NonIdempotent        // must not run twice
 )
 
-// DedupScope says which hosts drop a repeat of a journalled transaction.
+// DedupScope tells which hosts drop a repeat of a journalled transaction.
 type DedupScope int
 
 const (
 	DedupAllHosts DedupScope = iota
-	DedupSameZone
-	DedupSameCell
+	DedupSameZone            // hosts in the zone of the host that it first ran on
+	DedupSameCell            // hosts in the cell of the host that it first ran on
 )
 
+// Profile describes a class of transactions.
 type Profile struct {
 	Name                string
 	Effect              Effect
 	DedupScope          DedupScope
 	DedupWindow         time.Duration // how long repeats are dropped, from the first hop that may have run
-	ServiceGoal         time.Duration // service goal
-	Revenue             float64
-	LateRevenueFraction float64 // share of the revenue that an answer past the goal earns
-	Removed             bool    // nothing new comes of it but what was on its way
+	ServiceGoal         time.Duration
+	Revenue             float64 // of one transaction
+	LateRevenueFraction float64 // fraction of Revenue earned by an answer that misses ServiceGoal
+	Removed             bool    // no longer configured: only transactions that were already on their way still arrive
 }
 
-// Tenant is a sharer of the service; Quota is in transactions a second over all gateways.
+// Tenant is one of the parties that share the service.
 type Tenant struct {
 	Name           string
-	QuotaPerSecond float64
+	QuotaPerSecond float64 // transactions, over all gateways
 }
 
-// Arrival describes a transaction taken. Profile and Tenant are places in the lists given at the start;
-// Tenant is -1 where there is none.
+// Arrival describes a transaction received from a client.
 type Arrival struct {
-	ProfileIndex, TenantIndex int
-	Budget                    time.Duration
-	AffinityKey               uint32 // of work that hosts remember, 0 where they do not
-	BodyPending               bool   // its body is to come yet: see Whole
+	ProfileIndex, TenantIndex int           // TenantIndex is -1 if the transaction belongs to no tenant
+	Budget                    time.Duration // until its deadline
+	AffinityKey               uint32        // identifies work that hosts cache, 0 if they don't
+	BodyPending               bool          // the request body hasn't been received yet; see Core.HopBodySent
 }
 
+// HopOutcome is how a hop ended. The values are sent over the wire.
 type HopOutcome int
 
 const (
-	HopCommitted HopOutcome = iota
-	HopError
-	HopHostFull
-	HopTimedOut
-	HopNoConnection
-	HopConnectionBroken
+	HopCommitted        HopOutcome = iota
+	HopError                       // the host answered with an error
+	HopHostFull                    // the host rejected it without running it
+	HopTimedOut                    // no answer within the timeout
+	HopNoConnection                // no connection to the host, so nothing was sent
+	HopConnectionBroken            // the connection failed after the hop was sent
 	HopCalledOff
-	HopNotSent
+	HopNotSent // not sent, or declined in a way that says nothing about the host
 )
 
-// NeverRan tells whether the end of a hop proves that it had no effect.
+// NeverRan reports whether the outcome proves that the hop had no effect.
 func (e HopOutcome) NeverRan() bool {
 	return e == HopHostFull || e == HopNoConnection || e == HopNotSent
 }
 
-// LoadReport is what a host reports of itself; a figure below zero was not reported.
+// LoadReport is the load that a host reports of itself. Negative values were not reported.
 type LoadReport struct{ InFlight, Queued, Utilization, RequestsPerSecond, LatencyMs float64 }
 
-// NoLoadReport is a report without figures.
+// NoLoadReport is a report without any values.
 var NoLoadReport = LoadReport{-1, -1, -1, -1, -1}
 
 // HopResult is how a hop ended.
@@ -231,73 +252,77 @@
 	Load    LoadReport
 }
 
-// Topology is where the gateway stands among the gateways and zones.
+// Topology is the position of this gateway among the gateways and zones.
 type Topology struct {
 	GatewayCount int
-	GatewayIndex int // its number among them
+	GatewayIndex int // of this gateway, from 0
 	Zone         string
 	Zones        []string
 }
 
-// ColdHostRule bounds what a freshly started host may be sent.
+// ColdHostRule bounds the load on a recently started host.
 type ColdHostRule struct {
-	InitialCapacityFraction float64       // share of its capacity at which a host starts, at the least
-	WarmUpDuration          time.Duration // by when it is warm, at the latest
-	OverloadMultiple        float64       // of its present capacity, which over TipAfter pushes it over
-	OverloadDuration        time.Duration
-	StartTimeTolerance      time.Duration // by which the told time of a start may be off, in either direction
-	PredecessorActiveUntil  time.Duration // until when the process that this one replaces may spend of the budget too
+	InitialCapacityFraction float64       // fraction of its full capacity that a host has at least when it starts
+	WarmUpDuration          time.Duration // after which it has its full capacity at the latest
+	OverloadMultiple        float64       // load, as a multiple of its current capacity, that overloads it ...
+	OverloadDuration        time.Duration // ... if it lasts longer than this
+	StartTimeTolerance      time.Duration // maximum error of the reported start time, in either direction
+	PredecessorActiveUntil  time.Duration // until when the process that this one replaces also uses the cold host budget
 }
 
 // HopRule bounds what one transaction may use.
 type HopRule struct {
 	MaxHops              int
-	CallOff              bool
-	MaxRetryAfter        time.Duration // the longest time to come back that clients keep to, 0 where they are told none
-	BudgetTolerance      time.Duration // by which the told budget of a transaction may be off, in either direction
-	MaxBufferedResponses int           // answers that are held while their clients read them, 0 where nothing bounds them
+	CallOff              bool          // hops may be called off
+	MaxRetryAfter        time.Duration // longest retry delay that clients follow, 0 if they are given none
+	BudgetTolerance      time.Duration // maximum error of a transaction's stated budget, in either direction
+	MaxBufferedResponses int           // responses buffered while their clients read them, 0 for no limit
 	RetryBudget          RetryBudget
 }
 
-// RetryBudget bounds the hops of one gateway beyond each transaction's first: within any Span, which is 0 where nothing is stated, Free
-// and Share of the transactions taken in it.
+// RetryBudget limits the further hops of one gateway. In any Window there may be at most BaseRetries plus
+// RetriesPerTransaction for each transaction received in it. Window is 0 if no budget is configured.
 type RetryBudget struct {
 	BaseRetries           float64
 	RetriesPerTransaction float64
 	Window                time.Duration
 }
 
-// DrainRule says what holds beside the grace, in which this module never sends.
+// DrainRule tells how to treat draining and gone hosts. Whatever it says, nothing is sent to them during the drain
+// grace.
 type DrainRule struct {
-	CloseIdleConnections bool // idle connections to a draining host are closed: at once, so within any time that is stated
-	AllowGoneHosts       bool // a host that is merely gone, and never was told to drain, may be sent to
+	CloseIdleConnections bool // close idle connections to a draining host: immediately, so within any configured limit
+	AllowGoneHosts       bool // hosts that left the list without draining may still be sent to
 }
 
-// CapacityHintKind says what the list's sizes stand for.
+// CapacityHintKind tells what the capacity hints in the host list measure.
 type CapacityHintKind int
 
 const (
 	NoCapacityHints CapacityHintKind = iota
-	NominalCapacity                  // what the host can do, about
-	LiveCapacity                     // the same, over one more than it holds for each core, as of some time earlier
+	NominalCapacity                  // approximate capacity of the host
+	LiveCapacity                     // nominal capacity divided by 1 + in-flight hops per core, as of some time ago
 )
 
-// InformationSources says what a gateway learns beside the outcomes of its own hops.
+// InformationSources tells what a gateway learns besides the outcomes of its own hops.
 type InformationSources struct {
 	ProbesReportLoad        bool // hosts report their load when probed
-	ResponsesReportInFlight bool // answers say what a host holds and how busy it is
-	ExtraProbesAllowed      bool // hosts that report in answers may be probed besides
-	PeersShareInFlight      bool // gateways tell each other what they have out
-	ResponsesReportLoad     bool // answers say how hosts are loaded
+	ResponsesReportInFlight bool // responses carry the host's in-flight count and utilization
+	ExtraProbesAllowed      bool // hosts that report in responses may be probed as well
+	PeersShareInFlight      bool // gateways send each other their in-flight counts
+	ResponsesReportLoad     bool // responses carry the host's load
 	CapacityHints           CapacityHintKind
-	MaxListPollInterval     time.Duration // how long it may go without asking for the list, 0 where changes come by themselves
+	MaxListPollInterval     time.Duration // longest time between requests for the list, 0 if changes are pushed
 }
 
-// CostModel says what costs revenue beside the transaction's own.
+// CostModel tells what costs revenue, besides the revenue that the transactions themselves earn or miss.
 type CostModel struct {
-	CrossZoneHop      float64 // a hop into another zone, as a share of the mean revenue of a transaction
-	RevenueByWork     bool    // revenue is counted for each unit of work
-	OpenConnections   bool    // open ones cost by themselves
-	MissedGoals       bool    // missed goals are counted by themselves; early rollbacks are not among them
-	AvailabilityNines float64 // tenfold steps below all in which the unserved share counts, rollbacks too; 0 where it does not
+	CrossZoneHop    float64 // cost of a hop into another zone, as a fraction of the mean revenue of a transaction
+	RevenueByWork   bool    // Profile.Revenue is per unit of work
+	OpenConnections bool    // each open connection costs
+	MissedGoals     bool    // missed service goals cost extra; transactions rolled back early don't count as missed
+
+	// AvailabilityNines is over how many powers of ten, from 1 downwards, the fraction of unserved transactions costs
+	// revenue, rollbacks included. 0 if it doesn't.
+	AvailabilityNines float64
 }
