--- /dev/null
+++ b/internal/config/settings.go
@@ -0,0 +1,247 @@
+// Package given reads what both programs are given in the same form: the settings at the start, and what other
+// gateways tell.
+package config
+
+import (
+	"encoding/json"
+	"fmt"
+	"slices"
+	"time"
+
+	"spanmux/logic"
+)
+
+// settings is the settings object with which a gateway starts; what it holds beyond this is disregarded.
+type settings struct {
+	GatewayCount int      `json:"balancers"`
+	GatewayIndex int      `json:"me"`
+	MyZone       string   `json:"myZone"`
+	Zones        []string `json:"dcs"`
+	Profiles     []struct {
+		Name        string  `json:"name"`
+		Effect      string  `json:"effect"`
+		DedupScope  string  `json:"group"`
+		DedupWindow int64   `json:"window"`
+		HardLimit   int64   `json:"hardLimit"`
+		ServiceGoal int64   `json:"serviceGoal"`
+		Revenue     float64 `json:"revenue"`
+		LateRevenue float64 `json:"lateRevenue"`
+	} `json:"profiles"`
+	Tenants []struct {
+		Name           string  `json:"name"`
+		QuotaPerSecond float64 `json:"quotaRps"`
+	} `json:"parties"`
+	Limits struct {
+		Cancelling           bool  `json:"cancelling"`
+		PeerMessages         bool  `json:"mayTell"`
+		SecondCopies         *bool `json:"secondCopies"`
+		StreamsPerConn       int   `json:"streamsPerConn"`
+		MaxHops              int   `json:"mostHops"`
+		Probes               bool  `json:"probes"`
+		RetryAfter           bool  `json:"retryAfter"`
+		MaxRetryAfter        int64 `json:"maxRetryAfter"`
+		IdleConnTimeout      int64 `json:"connIdle"`
+		ConnectTimeout       int64 `json:"connectTimeout"`
+		MaxBufferedResponses *int  `json:"responseRoom"`
+	} `json:"limits"`
+	Discovery   string `json:"discovery"`
+	Obligations struct {
+		MaxListPollInterval     int64   `json:"askWithin"`
+		InitialCapacityFraction float64 `json:"coldFrom"`
+		OverloadMultiple        float64 `json:"fallMultiple"`
+		OverloadDuration        int64   `json:"tipAfter"`
+		DrainGrace              int64   `json:"drainGrace"`
+		WarmUp                  int64   `json:"warmUp"`
+		CloseOnDrainTimeout     int64   `json:"closeOnDrainWithin"`
+		BudgetTolerance         int64   `json:"budgetError"`
+		StartTimeTolerance      int64   `json:"startError"`
+		OnlyDrainingBinds       bool    `json:"onlyDrainingBinds"`
+
+		BaseRetries           *float64 `json:"spareAttempts"`
+		RetriesPerTransaction *float64 `json:"resendRatio"`
+		RetryWindow           *int64   `json:"ratioSpan"`
+	} `json:"obligations"`
+	Blend struct {
+		Tail         float64  `json:"tail"`
+		Availability float64  `json:"availability"`
+		FullAtNines  *float64 `json:"fullAtNines"`
+	} `json:"blend"`
+	Prices struct {
+		CrossZone  float64 `json:"crossZone"`
+		Connection float64 `json:"connection"`
+	} `json:"prices"`
+	Report struct {
+		Via    string   `json:"via"`
+		Fields []string `json:"fields"`
+	} `json:"report"`
+	RevenueBy     string `json:"revenueBy"`
+	CapacityHints string `json:"weights"`
+	Specifics     struct {
+		KeyAffinity bool `json:"warmKeys"`
+	} `json:"specifics"`
+}
+
+var effectsByName = map[string]logic.Effect{
+	"idempotent": logic.Idempotent, "deduplicated": logic.Journalled, "at_most_once": logic.NonIdempotent,
+}
+
+// capacityHintsByName is what a list's figure for a host stands for; where the settings say nothing of it, nothing is read from it.
+var capacityHintsByName = map[string]logic.CapacityHintKind{"nominal": logic.NominalCapacity, "rough": logic.NominalCapacity, "live": logic.LiveCapacity}
+
+var dedupScopesByName = map[string]logic.DedupScope{"all": logic.DedupAllHosts, "zone": logic.DedupSameZone, "cell": logic.DedupSameCell}
+
+func microseconds(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
+
+// Instance is a gateway's decisions with what a protocol must know to call them. Profiles and Tenants hold the
+// places by which the module knows them; retune.go says how these change.
+type Instance struct {
+	logic.Core
+	GatewayCount, GatewayIndex    int // how many there are, and which this one is
+	KeyAffinity                   bool
+	ProfileIndexes, TenantIndexes map[string]int
+	MaxHardLimit                  time.Duration // the longest hard limit
+	IdleConnTimeout               time.Duration // after which hosts close an idle connection
+	ConnectTimeout                time.Duration // a connection not up by then is given up
+	HostListPushed                bool          // changes of the list come by themselves, and count as told whether or not they are heard
+	DrainGrace                    time.Duration // for what is sent to a host that drains or is gone
+	listPollInterval              time.Duration
+	topology                      logic.Topology
+	gatewayPerClient              bool // of the shape with a gateway for each client process
+	knownProfiles                 []logic.Profile
+	servedUntil                   []time.Duration // by place, of those not in force: until when what comes for them is served
+	profileIndexByHash            map[uint16]int  // profiles as gateways name them to each other
+	newCore                       func(executor logic.Executor, now time.Duration, seed uint64, predecessorActiveUntil time.Duration) logic.Core
+}
+
+// Start starts the decisions; until beside the process that these replace may still be at work.
+func (in *Instance) Start(executor logic.Executor, now time.Duration, seed uint64, predecessorActiveUntil time.Duration) {
+	in.Core = in.newCore(executor, now, seed, predecessorActiveUntil)
+}
+
+// reloadableSettings is what settings say that may change while a gateway is at work.
+type reloadableSettings struct {
+	profiles       []logic.Profile
+	maxHardLimit   time.Duration
+	drainGrace     time.Duration
+	hostListPushed bool
+	tenants        []logic.Tenant
+	coldHosts      logic.ColdHostRule
+	drain          logic.DrainRule
+	hops           logic.HopRule
+	sources        logic.InformationSources
+	costs          logic.CostModel
+}
+
+// retryBudget reads the three settings of the budget, which go together: one alone was more likely lost on the way than meant.
+func (s *settings) retryBudget() (logic.RetryBudget, error) {
+	obligations := s.Obligations
+	if obligations.BaseRetries == nil && obligations.RetriesPerTransaction == nil && obligations.RetryWindow == nil {
+		return logic.RetryBudget{}, nil
+	}
+	for _, setting := range []struct {
+		key     string
+		invalid bool
+	}{
+		{"spareAttempts", obligations.BaseRetries == nil || *obligations.BaseRetries < 0 || *obligations.BaseRetries > maxHopsPerTransaction},
+		{"resendRatio", obligations.RetriesPerTransaction == nil || *obligations.RetriesPerTransaction < 0 || *obligations.RetriesPerTransaction > maxHopsPerTransaction},
+		{"ratioSpan", obligations.RetryWindow == nil || *obligations.RetryWindow <= 0 || *obligations.RetryWindow > maxDurationSetting.Microseconds()},
+	} {
+		if setting.invalid {
+			return logic.RetryBudget{}, fmt.Errorf("settings: obligations.%s: missing or makes no sense", setting.key)
+		}
+	}
+	return logic.RetryBudget{BaseRetries: *obligations.BaseRetries, RetriesPerTransaction: *obligations.RetriesPerTransaction, Window: microseconds(*obligations.RetryWindow)}, nil
+}
+
+func (s *settings) reloadable(listPollInterval time.Duration) (result reloadableSettings, err error) {
+	for _, profile := range s.Profiles {
+		effect, ok := effectsByName[profile.Effect]
+		if !ok {
+			return result, fmt.Errorf("settings: profile %s: unknown effect %q", profile.Name, profile.Effect)
+		}
+		scope, ok := dedupScopesByName[profile.DedupScope]
+		if !ok && effect == logic.Journalled {
+			return result, fmt.Errorf("settings: profile %s: unknown group %q", profile.Name, profile.DedupScope)
+		}
+		result.maxHardLimit = max(result.maxHardLimit, microseconds(profile.HardLimit))
+		result.profiles = append(result.profiles, logic.Profile{Name: profile.Name, Effect: effect, DedupScope: scope, DedupWindow: microseconds(profile.DedupWindow),
+			ServiceGoal: microseconds(profile.ServiceGoal), Revenue: profile.Revenue, LateRevenueFraction: profile.LateRevenue})
+	}
+	for _, tenant := range s.Tenants {
+		result.tenants = append(result.tenants, logic.Tenant{Name: tenant.Name, QuotaPerSecond: tenant.QuotaPerSecond})
+	}
+	if s.Limits.RetryAfter {
+		result.hops.MaxRetryAfter = microseconds(s.Limits.MaxRetryAfter)
+	}
+	result.hops.MaxHops, result.hops.CallOff = s.Limits.MaxHops, s.Limits.Cancelling
+	if nines := s.Blend.FullAtNines; nines != nil && (*nines <= 0 || *nines > maxAvailabilityNines) {
+		return result, fmt.Errorf("settings: blend.fullAtNines: %g", *nines)
+	} else if nines != nil && s.Blend.Availability > 0 {
+		result.costs.AvailabilityNines = *nines
+	}
+	if result.hops.RetryBudget, err = s.retryBudget(); err != nil {
+		return result, err
+	}
+	result.costs.CrossZoneHop, result.costs.RevenueByWork = s.Prices.CrossZone, s.RevenueBy == "work"
+	result.costs.OpenConnections, result.costs.MissedGoals = s.Prices.Connection > 0, s.Blend.Tail > 0
+	result.coldHosts = logic.ColdHostRule{InitialCapacityFraction: s.Obligations.InitialCapacityFraction, WarmUpDuration: microseconds(s.Obligations.WarmUp),
+		OverloadMultiple: s.Obligations.OverloadMultiple, OverloadDuration: microseconds(s.Obligations.OverloadDuration)}
+	closeOnDrainTimeout := time.Duration(0)
+	for _, setting := range []struct {
+		key    string
+		value  int64
+		target *time.Duration
+	}{
+		{"closeOnDrainWithin", s.Obligations.CloseOnDrainTimeout, &closeOnDrainTimeout},
+		{"budgetError", s.Obligations.BudgetTolerance, &result.hops.BudgetTolerance},
+		{"startError", s.Obligations.StartTimeTolerance, &result.coldHosts.StartTimeTolerance},
+	} {
+		if setting.value < 0 || setting.value > maxDurationSetting.Microseconds() {
+			return result, fmt.Errorf("settings: obligations.%s: %d", setting.key, setting.value)
+		}
+		*setting.target = microseconds(setting.value)
+	}
+	// On sockets, where ask is given, a host's address goes with the list, and nothing could be sent to one that is merely gone.
+	result.drain = logic.DrainRule{CloseIdleConnections: closeOnDrainTimeout > 0, AllowGoneHosts: s.Obligations.OnlyDrainingBinds && listPollInterval == 0}
+	if maxResponses := s.Limits.MaxBufferedResponses; maxResponses != nil {
+		if result.hops.MaxBufferedResponses = *maxResponses; result.hops.MaxBufferedResponses < 1 {
+			return result, fmt.Errorf("settings: limits.responseRoom: %d", result.hops.MaxBufferedResponses)
+		}
+	}
+	result.sources = logic.InformationSources{ProbesReportLoad: s.Report.Via == "probe" && s.Limits.Probes &&
+		slices.Contains(s.Report.Fields, "rif"), PeersShareInFlight: s.Limits.PeerMessages,
+		ResponsesReportInFlight: s.Report.Via == "answers" && slices.Contains(s.Report.Fields, "rif") &&
+			slices.Contains(s.Report.Fields, "busy"),
+		ExtraProbesAllowed:  s.Report.Via == "answers" && s.Limits.Probes,
+		CapacityHints:       capacityHintsByName[s.CapacityHints],
+		ResponsesReportLoad: s.Report.Via == "answers",
+		MaxListPollInterval: listPollInterval}
+	result.drainGrace, result.hostListPushed = microseconds(s.Obligations.DrainGrace), s.Discovery != "subscribe"
+	if !result.hostListPushed {
+		result.sources.MaxListPollInterval = microseconds(s.Obligations.MaxListPollInterval)
+	}
+	return result, nil
+}
+
+// Parse reads the settings in text. Where these say that changes of the list come by themselves, ask is how long a
+// gateway may go without asking all the same: on sockets somebody must ask, or no change would ever come.
+func Parse(text []byte, listPollInterval time.Duration) (*Instance, error) {
+	var s settings
+	if err := json.Unmarshal(text, &s); err != nil {
+		return nil, fmt.Errorf("settings: %w", err)
+	}
+	reloadable, err := s.reloadable(listPollInterval)
+	if err != nil {
+		return nil, err
+	}
+	instance := &Instance{GatewayCount: s.GatewayCount, GatewayIndex: s.GatewayIndex, KeyAffinity: s.Specifics.KeyAffinity, listPollInterval: listPollInterval, gatewayPerClient: s.gatewayPerClient(),
+		IdleConnTimeout: microseconds(s.Limits.IdleConnTimeout), ConnectTimeout: microseconds(s.Limits.ConnectTimeout),
+		topology: logic.Topology{GatewayCount: s.GatewayCount, GatewayIndex: s.GatewayIndex, Zone: s.MyZone, Zones: s.Zones}}
+	instance.activate(0, &reloadable)
+	instance.newCore = func(executor logic.Executor, now time.Duration, seed uint64, predecessorActiveUntil time.Duration) logic.Core {
+		coldHosts := reloadable.coldHosts
+		coldHosts.PredecessorActiveUntil = predecessorActiveUntil
+		return logic.New(executor, now, seed, instance.topology, instance.knownProfiles, reloadable.tenants, coldHosts, reloadable.drain, reloadable.hops, reloadable.sources, reloadable.costs)
+	}
+	return instance, nil
+}
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -181,7 +181,7 @@
 		fmt.Printf("%d %t %+v\n", l.Revision, l.Full, l.Hosts[0].Host(5, func(ms int64) time.Duration { return time.Duration(ms) }))
 	}
 	// Output:
-	// 3 true {ID:5 Zone:a Kind:m Cell:3 State:2 Size:1.5 Started:9ns}
+	// 3 true {ID:5 Zone:a Kind:m Cell:3 State:2 CapacityHint:1.5 StartedAt:9ns}
 	// list: entry "s" in state "asleep"
 	// list: entry "" in state "in_service"
 	// list: unexpected end of JSON input
@@ -208,7 +208,7 @@
 	first := body.State()
 	second := first.Resume(strings.NewReader("")).State()
 	rest, err := io.ReadAll(second.Resume(strings.NewReader("")))
-	fmt.Println(string(second.Ahead) == string(first.Ahead), string(rest), err)
+	fmt.Println(string(second.ReadAhead) == string(first.ReadAhead), string(rest), err)
 	// Output:
 	// <nil>
 	// abcd <nil>
--- /dev/null
+++ b/internal/routing/client_leaves_test.go
@@ -0,0 +1,359 @@
+package routing
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"spanmux/internal/protocol"
+	"spanmux/logic"
+)
+
+// maxHopStartAfterClose is the bound on all that is below: no hop of a transaction, the first or a further one, begins later than that after its client
+// has closed.
+const maxHopStartAfterClose = 100 * time.Millisecond
+
+// leavingClients are many clients of one gateway, each with a transaction, that leave together, and what hosts see of these.
+type leavingClients struct {
+	*testGateway
+	count        int
+	waiting      int64 // of them, those whose transactions wait: some the module rolls back at once
+	heldDials    int   // hops
+	conns        []*clientConn
+	closedAt     time.Time     // when the last of them had closed
+	noticedAfter time.Duration // from then until the gateway knows of all
+	dials, gate  chan bool     // connections to hosts come up as the gate lets them
+	holdsHosts   atomic.Bool   // hosts wait before they turn a transaction away
+	release      chan bool     // closed as they go on
+
+	writers sync.WaitGroup
+	modes   []string // in which they leave, by turns
+
+	hopsMu     sync.Mutex
+	hopStarted map[string]time.Time // by transaction: the first byte of its last hop
+}
+
+// newLeavingClients has a gateway with a host or two that note when hops begin; it changes the usual settings by pairs of old and new.
+func newLeavingClients(count, hosts int, cancelling, gated bool, replacements ...string) *leavingClients {
+	replacements = append([]string{`"cancelling":true`, fmt.Sprintf(`"cancelling":%t`, cancelling), `"connectTimeout":200000`, `"connectTimeout":1900000`}, replacements...)
+	l := &leavingClients{testGateway: newTestGatewayWith(strings.NewReplacer(replacements...).Replace(testSettings)), count: count, modes: []string{"closes", "resets", "halves"}, hopStarted: map[string]time.Time{}, release: make(chan bool),
+		dials: make(chan bool, 4*count), gate: make(chan bool, 4*count)}
+	list := &protocol.HostList{Revision: 5, Full: true}
+	for i := range hosts {
+		ln, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			panic(err)
+		}
+		go l.runHost(ln)
+		list.Hosts = append(list.Hosts, protocol.HostEntry{UID: fmt.Sprint("host ", i), Endpoint: ln.Addr().String(), Zone: "a", State: "in_service"})
+	}
+	l.applyList(l.discovery.conn, logic.ListComplete, list)
+	if gated {
+		l.callCore(func(time.Duration) {
+			l.pool.Dial = func(_ context.Context, network, addr string) (net.Conn, error) {
+				l.dials <- true
+				if !<-l.gate {
+					return nil, errors.New("never up")
+				}
+				return net.Dial(network, addr)
+			}
+		})
+	}
+	return l
+}
+
+func (l *leavingClients) runHost(ln net.Listener) {
+	for {
+		nc, err := ln.Accept()
+		if err != nil {
+			return
+		}
+		go func() {
+			for r := bufio.NewReader(nc); ; {
+				if _, err := r.Peek(1); err != nil {
+					return
+				}
+				startedAt := time.Now()
+				request, err := http.ReadRequest(r)
+				if err != nil {
+					return
+				}
+				if id := request.Header.Get("X-Trace-Id"); id != "" { // else it asks for the load
+					l.hopsMu.Lock()
+					l.hopStarted[id] = startedAt
+					l.hopsMu.Unlock()
+				}
+				held := l.holdsHosts.Load()
+				if held {
+					<-l.release
+				}
+				if io.Copy(io.Discard, request.Body); held {
+					io.WriteString(nc, "HTTP/1.1 503 no\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n")
+				} else {
+					io.WriteString(nc, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+				}
+			}
+		}()
+	}
+}
+
+// sendRequests has each client send what the function gives; more than sockets hold is sent as it is taken.
+func (l *leavingClients) sendRequests(text func(id string) string) {
+	for i := range l.count {
+		c := l.dial()
+		l.conns = append(l.conns, c)
+		if message := text(fmt.Sprint(i)); len(message) < 1<<16 {
+			io.WriteString(c, message)
+		} else {
+			l.writers.Go(func() { io.WriteString(c, message) })
+		}
+	}
+}
+
+// waitUntilSent waits until all of that is sent, or can't be: then no more is taken.
+func (l *leavingClients) waitUntilSent() {
+	done := make(chan bool)
+	go func() { l.writers.Wait(); close(done) }()
+	select {
+	case <-done:
+	case <-time.After(time.Second):
+	}
+}
+
+// closeAll has all clients leave, by turns in each way, and waits until the gateway knows and the time is over after which no hop may begin.
+func (l *leavingClients) closeAll() {
+	if l.waiting == 0 {
+		l.waiting = l.Counters.OpenTransactions.Load()
+	}
+	for i, c := range l.conns {
+		closeModes[l.modes[i%len(l.modes)]](c)
+	}
+	l.closedAt = time.Now()
+	l.waitForClientsLeft(l.waiting)
+	l.noticedAfter = time.Since(l.closedAt)
+	time.Sleep(time.Until(l.closedAt.Add(maxHopStartAfterClose)))
+}
+
+// lateHops is how many hops began too late.
+func (l *leavingClients) lateHops() (late int) {
+	l.waitFor("none out", func() bool { l.Dispatcher.mu.Lock(); defer l.Dispatcher.mu.Unlock(); return len(l.txs) == 0 })
+	l.hopsMu.Lock()
+	defer l.hopsMu.Unlock()
+	for _, startedAt := range l.hopStarted {
+		if startedAt.Sub(l.closedAt) > maxHopStartAfterClose {
+			late++
+		}
+	}
+	if l.waitTimedOut() {
+		late = -1
+		fmt.Println(l.testGateway.log)
+	}
+	return late
+}
+
+func payRequest(id string) string { return requestText("pay", id, "") }
+
+// partialPayRequest is a transaction of which so much has come, and more is to come.
+func partialPayRequest(id string, received int) string {
+	return strings.Replace(payRequest(id), "Length: 2", "Length: 8000000", 1) + strings.Repeat("a", received)
+}
+
+// releaseDials lets connections up, or fail, that are waited for.
+func (l *leavingClients) releaseDials(succeed bool) {
+	for range l.heldDials {
+		l.gate <- succeed
+	}
+}
+
+// waitForDials waits until all are taken, and connections for their hops are waited for.
+func (l *leavingClients) waitForDials() {
+	l.waitForAdmission()
+	l.heldDials = int(l.Counters.Hops.Load())
+	l.waitFor("connections waited for", func() bool { return len(l.dials) == l.heldDials })
+}
+
+// waitForHops waits until all are taken, and their hops have come to a host.
+func (l *leavingClients) waitForHops() {
+	l.waitForAdmission()
+	hops := int(l.Counters.Hops.Load())
+	l.waitFor("hops there", func() bool { l.hopsMu.Lock(); defer l.hopsMu.Unlock(); return len(l.hopStarted) == hops })
+}
+
+func (l *leavingClients) waitForAdmission() {
+	l.waitFor("taken", func() bool { return l.Counters.Admitted.Load() >= int64(l.count) })
+	l.callCore(func(time.Duration) {}) // what came with the last one is done
+}
+
+// leaveScenarios are where a transaction may wait as its client leaves; each plays one such, with so many clients.
+var leaveScenarios = []struct {
+	name string
+	run  func(size int, cancelling bool) *leavingClients
+}{
+	{"connection comes up", func(size int, cancelling bool) *leavingClients {
+		l := newLeavingClients(size, size, cancelling, true)
+		l.sendRequests(payRequest)
+		l.waitForDials()
+		l.closeAll()
+		l.releaseDials(true)
+		return l
+	}},
+	{"connection fails late, another host", func(size int, cancelling bool) *leavingClients {
+		l := newLeavingClients(size, size, cancelling, true)
+		l.sendRequests(payRequest)
+		l.waitForDials()
+		l.closeAll()
+		l.releaseDials(false)
+		l.releaseDials(true)
+		return l
+	}},
+	{"behind another", func(size int, cancelling bool) *leavingClients {
+		l := newLeavingClients(size, size, cancelling, false)
+		l.holdsHosts.Store(true)
+		l.sendRequests(func(id string) string { return payRequest(id+"-first") + payRequest(id+"-second") })
+		l.waitForHops()
+		l.closeAll()
+		close(l.release)
+		return l
+	}},
+	{"unaccepted", func(size int, cancelling bool) *leavingClients {
+		l := newLeavingClients(size, size, cancelling, false)
+		c := l.dial()
+		io.WriteString(c, "GET /ready HTTP/1.1\r\nConnection: close\r\n\r\n")
+		l.logResponse(c, "ready")
+		l.listener.Shutdown()
+		l.waitFor("the end", l.listener.Finished)
+		ln, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			panic(err)
+		}
+		l.ConfigureListener(ln, false, 400, 0, 2<<20)
+		l.waiting = int64(size)
+		l.sendRequests(payRequest)
+		served := time.AfterFunc(2*maxHopStartAfterClose, func() { l.listener.Serve(l.serveClient) })
+		defer served.Stop()
+		l.closeAll()
+		return l
+	}},
+	{"body half come", func(size int, cancelling bool) *leavingClients {
+		l := newLeavingClients(size, size, cancelling, true)
+		l.bodyBudget.Store(0) // no room to hold any
+		l.sendRequests(func(id string) string { return partialPayRequest(id, 30_000) })
+		l.waitForDials()
+		l.closeAll()
+		l.releaseDials(true)
+		return l
+	}},
+	{"body half come, more than a socket holds", func(size int, cancelling bool) *leavingClients {
+		l := newLeavingClients(size, size, cancelling, true)
+		l.bodyBudget.Store(1 << 30)
+		l.sendRequests(func(id string) string { return partialPayRequest(id, 700_000) })
+		l.waitForDials()
+		l.waitUntilSent()
+		l.modes = []string{"closes"}
+		l.closeAll()
+		l.releaseDials(true)
+		return l
+	}},
+	{"body half come, its host takes none", func(size int, cancelling bool) *leavingClients {
+		l := newLeavingClients(size/6, size, cancelling, false) // few: each binds megabytes of the machine's
+		l.bodyBudget.Store(0)
+		l.holdsHosts.Store(true) // till then no host reads on
+		l.sendRequests(func(id string) string { return partialPayRequest(id, 3_000_000) })
+		l.waitForHops()
+		l.waitUntilSent()
+		l.modes = []string{"resets"} // another end stands behind what no socket takes
+		l.closeAll()
+		close(l.release)
+		return l
+	}},
+	{"asked of another gateway", func(size int, cancelling bool) *leavingClients {
+		l := newLeavingClients(size, size, cancelling, false, `"balancers":2`, `"me":1,"balancers":21`)
+		l.callCore(func(time.Duration) { // from here on the module's time goes on as the test has it
+			l.timer.Stop()
+			l.timer = time.AfterFunc(time.Hour, func() {})
+		})
+		l.sendRequests(payRequest)
+		l.waitForAdmission()
+		l.closeAll()
+		for end := time.Now().Add(300 * time.Millisecond); time.Now().Before(end); { // its wait is over within
+			l.callCore(func(now time.Duration) { l.core.TimerFired(now) })
+		}
+		return l
+	}},
+	{"a hop ends later, another host", func(size int, cancelling bool) *leavingClients {
+		l := newLeavingClients(size, size, cancelling, false)
+		l.holdsHosts.Store(true)
+		l.sendRequests(payRequest)
+		l.waitForHops()
+		l.closeAll()
+		close(l.release)
+		return l
+	}},
+	{"while the gateway ends", func(size int, cancelling bool) *leavingClients {
+		l := newLeavingClients(size, size, cancelling, true)
+		l.sendRequests(payRequest)
+		l.waitForDials()
+		go l.Close()
+		l.waitFor("the end", l.closing.Load)
+		l.closeAll()
+		l.releaseDials(true)
+		return l
+	}},
+}
+
+// Wherever a transaction waits as its client leaves, no hop of it begins once that is known, and later than 0.1 s after it.
+func Example_clientLeaves() {
+	for _, cancelling := range []bool{true, false} {
+		for _, p := range leaveScenarios {
+			l := p.run(30, cancelling)
+			fmt.Printf("calling off %t, %s: of %d late %d\n", cancelling, p.name, l.waiting, l.lateHops())
+		}
+	}
+	// Output:
+	// calling off true, connection comes up: of 30 late 0
+	// calling off true, connection fails late, another host: of 30 late 0
+	// calling off true, behind another: of 30 late 0
+	// calling off true, unaccepted: of 30 late 0
+	// calling off true, body half come: of 30 late 0
+	// calling off true, body half come, more than a socket holds: of 30 late 0
+	// calling off true, body half come, its host takes none: of 5 late 0
+	// calling off true, asked of another gateway: of 30 late 0
+	// calling off true, a hop ends later, another host: of 30 late 0
+	// calling off true, while the gateway ends: of 30 late 0
+	// calling off false, connection comes up: of 30 late 0
+	// calling off false, connection fails late, another host: of 30 late 0
+	// calling off false, behind another: of 30 late 0
+	// calling off false, unaccepted: of 30 late 0
+	// calling off false, body half come: of 30 late 0
+	// calling off false, body half come, more than a socket holds: of 30 late 0
+	// calling off false, body half come, its host takes none: of 5 late 0
+	// calling off false, asked of another gateway: of 30 late 0
+	// calling off false, a hop ends later, another host: of 30 late 0
+	// calling off false, while the gateway ends: of 30 late 0
+}
+
+// BenchmarkClientLeaves shows how long after the last client's end, of as many as b.N, the gateway knows of all that have left at a place.
+func BenchmarkClientLeaves(b *testing.B) {
+	for _, p := range leaveScenarios {
+		b.Run(strings.ReplaceAll(p.name, " ", "-"), func(b *testing.B) {
+			var longest time.Duration
+			for range b.N {
+				l := p.run(30, false)
+				if late := l.lateHops(); late != 0 {
+					b.Error("late:", late)
+				}
+				longest = max(longest, l.noticedAfter)
+			}
+			b.ReportMetric(float64(longest)/1e6, "ms-noted-at-most")
+		})
+	}
+}
