--- a/internal/simwire/actions.go
+++ b/internal/simwire/actions.go
@@ -11,85 +11,85 @@
 	"spanmux/logic"
 )
 
-// sender writes what one instance wants done.
-type sender struct {
-	in  *config.Instance
-	w   *bufio.Writer
-	who string
+// actionWriter writes what one instance wants done.
+type actionWriter struct {
+	instance     *config.Instance
+	out          *bufio.Writer
+	instanceName string
 }
 
-func (s *sender) begin(name string) {
-	s.w.WriteString(name)
-	s.w.WriteByte(' ')
-	s.w.WriteString(s.who)
+func (a *actionWriter) beginAction(action string) {
+	a.out.WriteString(action)
+	a.out.WriteByte(' ')
+	a.out.WriteString(a.instanceName)
 }
 
-func (s *sender) int(n int64) {
-	s.w.WriteByte(' ')
-	s.w.Write(strconv.AppendInt(s.w.AvailableBuffer(), n, 10))
+func (a *actionWriter) writeInt(n int64) {
+	a.out.WriteByte(' ')
+	a.out.Write(strconv.AppendInt(a.out.AvailableBuffer(), n, 10))
 }
 
-func (s *sender) text(t string) {
-	s.w.WriteByte(' ')
-	s.w.WriteString(t)
+func (a *actionWriter) writeText(text string) {
+	a.out.WriteByte(' ')
+	a.out.WriteString(text)
 }
 
-func (s *sender) end() { s.w.WriteByte('\n') }
+func (a *actionWriter) endLine() { a.out.WriteByte('\n') }
 
-func (s *sender) SendHop(id logic.TxID, host logic.HostID, wait time.Duration) {
-	s.begin("dispatch")
-	s.int(int64(id))
-	s.int(int64(host))
-	s.int(wait.Microseconds())
-	s.end()
+func (a *actionWriter) SendHop(id logic.TxID, host logic.HostID, timeout time.Duration) {
+	a.beginAction("dispatch")
+	a.writeInt(int64(id))
+	a.writeInt(int64(host))
+	a.writeInt(timeout.Microseconds())
+	a.endLine()
 }
 
-func (s *sender) CallOff(id logic.TxID, hop int) {
-	s.begin("recall")
-	s.int(int64(id))
-	s.int(int64(hop))
-	s.end()
+func (a *actionWriter) CallOff(id logic.TxID, hop int) {
+	a.beginAction("recall")
+	a.writeInt(int64(id))
+	a.writeInt(int64(hop))
+	a.endLine()
 }
 
-func (s *sender) RollBack(id logic.TxID, after time.Duration) {
-	s.begin("refuse")
-	s.int(int64(id))
-	s.int(after.Microseconds())
-	s.end()
+func (a *actionWriter) RollBack(id logic.TxID, retryAfter time.Duration) {
+	a.beginAction("refuse")
+	a.writeInt(int64(id))
+	a.writeInt(retryAfter.Microseconds())
+	a.endLine()
 }
 
-func (s *sender) Abandon(id logic.TxID) {
-	s.begin("drop_request")
-	s.int(int64(id))
-	s.end()
+func (a *actionWriter) Abandon(id logic.TxID) {
+	a.beginAction("drop_request")
+	a.writeInt(int64(id))
+	a.endLine()
 }
 
-func (s *sender) Probe(host logic.HostID) {
-	s.begin("poll")
-	s.int(int64(host))
-	s.end()
+func (a *actionWriter) Probe(host logic.HostID) {
+	a.beginAction("poll")
+	a.writeInt(int64(host))
+	a.endLine()
 }
 
-func (s *sender) CloseIdleConnections(host logic.HostID) {
-	s.begin("release")
-	s.int(int64(host))
-	s.end()
+func (a *actionWriter) CloseIdleConnections(host logic.HostID) {
+	a.beginAction("release")
+	a.writeInt(int64(host))
+	a.endLine()
 }
 
 // SendPeerMessage takes as many messages as it needs.
-func (s *sender) SendPeerMessage(to int, held []logic.PeerEntry) {
-	for msg := range s.in.EncodePeerMessages(held) {
-		s.begin("announce")
-		s.int(int64(to))
-		s.text(hex.EncodeToString(msg))
-		s.end()
+func (a *actionWriter) SendPeerMessage(to int, entries []logic.PeerEntry) {
+	for message := range a.instance.EncodePeerMessages(entries) {
+		a.beginAction("announce")
+		a.writeInt(int64(to))
+		a.writeText(hex.EncodeToString(message))
+		a.endLine()
 	}
 }
 
-func (s *sender) RequestHostList() {
-	s.begin("track")
-	s.int(1)
-	s.end()
+func (a *actionWriter) RequestHostList() {
+	a.beginAction("track")
+	a.writeInt(1)
+	a.endLine()
 }
 
 // The module keeps one timer, so one handle does.
@@ -97,15 +97,15 @@
 
 // SetTimer rounds up: the module waits for a timer that it has set, and one that falls due before its time would
 // be its last.
-func (s *sender) SetTimer(in time.Duration) {
-	s.begin("set_alarm")
-	s.int(timerHandle)
-	s.int((in + time.Microsecond - 1).Microseconds())
-	s.end()
+func (a *actionWriter) SetTimer(delay time.Duration) {
+	a.beginAction("set_alarm")
+	a.writeInt(timerHandle)
+	a.writeInt((delay + time.Microsecond - 1).Microseconds())
+	a.endLine()
 }
 
-func (s *sender) Log(line string) {
-	s.begin("print")
-	s.text(strings.ReplaceAll(line, "\n", " "))
-	s.end()
+func (a *actionWriter) Log(line string) {
+	a.beginAction("print")
+	a.writeText(strings.ReplaceAll(line, "\n", " "))
+	a.endLine()
 }
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -20,44 +20,44 @@
 // Serve reads batches from r and writes one reply for each to w, until the input ends.
 func Serve(r io.Reader, w io.Writer) error {
 	s := &server{in: bufio.NewReaderSize(r, 1<<16), out: bufio.NewWriterSize(w, 1<<16),
-		instances: map[string]*config.Instance{}, names: map[string]string{}}
+		instances: map[string]*config.Instance{}, internedNames: map[string]string{}}
 	for {
-		line, err := s.line()
+		line, err := s.readLine()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err == nil {
-			err = s.event(line)
+			err = s.handleEvent(line)
 		}
 		if err != nil {
 			s.out.Flush()
-			return fmt.Errorf("line %d: %w", s.lines, err)
+			return fmt.Errorf("line %d: %w", s.lineNumber, err)
 		}
 	}
 }
 
 type server struct {
-	in        *bufio.Reader
-	out       *bufio.Writer
-	instances map[string]*config.Instance
-	now       time.Duration
-	inBatch   bool
-	lines     int
-	long      []byte // a line longer than the reader's buffer
-	hosts     []logic.Host
-	names     map[string]string // zones and machines: lists name the same few again and again
+	in            *bufio.Reader
+	out           *bufio.Writer
+	instances     map[string]*config.Instance
+	now           time.Duration
+	inBatch       bool
+	lineNumber    int
+	longLine      []byte // a line longer than the reader's buffer
+	hostBuffer    []logic.Host
+	internedNames map[string]string // zones and machines: lists name the same few again and again
 }
 
-func (s *server) line() ([]byte, error) {
-	s.lines++
+func (s *server) readLine() ([]byte, error) {
+	s.lineNumber++
 	line, err := s.in.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
-		s.long = append(s.long[:0], line...)
+		s.longLine = append(s.longLine[:0], line...)
 		for errors.Is(err, bufio.ErrBufferFull) {
 			line, err = s.in.ReadSlice('\n')
-			s.long = append(s.long, line...)
+			s.longLine = append(s.longLine, line...)
 		}
-		line = s.long
+		line = s.longLine
 	}
 	if err != nil {
 		if errors.Is(err, io.EOF) && (len(line) > 0 || s.inBatch) {
@@ -68,44 +68,44 @@
 	return bytes.TrimSuffix(line[:len(line)-1], []byte("\r")), nil
 }
 
-// fields reads the parts of a line; the first that is wrong is kept as its error.
-type fields struct {
+// lineParser reads the parts of a line; the first that is wrong is kept as its error.
+type lineParser struct {
 	rest []byte
 	err  error
 }
 
-func (f *fields) text() []byte {
-	if f.rest == nil {
-		f.fail("too few values")
+func (p *lineParser) nextField() []byte {
+	if p.rest == nil {
+		p.fail("too few values")
 		return nil
 	}
-	part, rest, more := bytes.Cut(f.rest, []byte(" "))
+	field, rest, more := bytes.Cut(p.rest, []byte(" "))
 	if !more {
 		rest = nil
 	}
-	f.rest = rest
-	return part
+	p.rest = rest
+	return field
 }
 
-func (f *fields) fail(format string, args ...any) {
-	if f.err == nil {
-		f.err = fmt.Errorf(format, args...)
+func (p *lineParser) fail(format string, args ...any) {
+	if p.err == nil {
+		p.err = fmt.Errorf(format, args...)
 	}
 }
 
-func (f *fields) int() int64 {
-	t := f.text()
-	if absent(t) {
+func (p *lineParser) nextInt() int64 {
+	text := p.nextField()
+	if isAbsent(text) {
 		return 0
 	}
-	digits, negative := t, t[0] == '-'
+	digits, negative := text, text[0] == '-'
 	if negative {
-		digits = t[1:]
+		digits = text[1:]
 	}
 	n := int64(0)
 	for _, c := range digits {
 		if c < '0' || c > '9' || n > (1<<63-10)/10 {
-			f.fail("%q is not a whole number", t)
+			p.fail("%q is not a whole number", text)
 			return 0
 		}
 		n = n*10 + int64(c-'0')
@@ -116,93 +116,95 @@
 	return n
 }
 
-// number is a figure that need not be whole, 0 where it is absent.
-func (f *fields) number() float64 {
-	t := f.text()
-	if absent(t) {
+// nextFloat is a figure that need not be whole, 0 where it is absent.
+func (p *lineParser) nextFloat() float64 {
+	text := p.nextField()
+	if isAbsent(text) {
 		return 0
 	}
-	n, err := strconv.ParseFloat(string(t), 64)
+	n, err := strconv.ParseFloat(string(text), 64)
 	if err != nil {
-		f.fail("%q is not a number", t)
+		p.fail("%q is not a number", text)
 	}
 	return n
 }
 
-func (f *fields) span() time.Duration { return time.Duration(f.int()) * time.Microsecond }
+func (p *lineParser) nextDuration() time.Duration {
+	return time.Duration(p.nextInt()) * time.Microsecond
+}
 
-func readHeld(in *config.Instance, text []byte) ([]logic.PeerEntry, error) {
-	if absent(text) {
+func decodePeerMessage(instance *config.Instance, text []byte) ([]logic.PeerEntry, error) {
+	if isAbsent(text) {
 		return nil, nil
 	}
 	msg, err := hex.AppendDecode(nil, text)
 	if err != nil {
 		return nil, err
 	}
-	return in.DecodePeerMessage(msg)
+	return instance.DecodePeerMessage(msg)
 }
 
-func absent(t []byte) bool { return len(t) == 0 || len(t) == 1 && t[0] == '-' }
+func isAbsent(text []byte) bool { return len(text) == 0 || len(text) == 1 && text[0] == '-' }
 
-var ends = map[string]logic.HopOutcome{
+var outcomesByName = map[string]logic.HopOutcome{
 	"pass": logic.HopCommitted, "fault": logic.HopError, "no_room": logic.HopHostFull, "too_slow": logic.HopTimedOut,
 	"no_route": logic.HopNoConnection, "cut": logic.HopConnectionBroken, "undone": logic.HopCalledOff, "stale_send": logic.HopNotSent,
 }
 
-func (f *fields) end() logic.HopOutcome {
-	t := f.text()
-	end, ok := ends[string(t)]
+func (p *lineParser) nextOutcome() logic.HopOutcome {
+	text := p.nextField()
+	outcome, ok := outcomesByName[string(text)]
 	if !ok {
-		f.fail("unknown outcome %q", t)
+		p.fail("unknown outcome %q", text)
 	}
-	return end
+	return outcome
 }
 
-func (f *fields) load() logic.LoadReport {
-	l := logic.NoLoadReport
-	t := f.text()
-	if absent(t) {
-		return l
+func (p *lineParser) nextLoadReport() logic.LoadReport {
+	report := logic.NoLoadReport
+	text := p.nextField()
+	if isAbsent(text) {
+		return report
 	}
-	for len(t) > 0 {
+	for len(text) > 0 {
 		var pair []byte
-		pair, t, _ = bytes.Cut(t, []byte(","))
+		pair, text, _ = bytes.Cut(text, []byte(","))
 		name, value, _ := bytes.Cut(pair, []byte(":"))
-		var to *float64
+		var target *float64
 		switch string(name) {
 		case "rif":
-			to = &l.InFlight
+			target = &report.InFlight
 		case "q":
-			to = &l.Queued
+			target = &report.Queued
 		case "busy":
-			to = &l.Utilization
+			target = &report.Utilization
 		case "rate":
-			to = &l.RequestsPerSecond
+			target = &report.RequestsPerSecond
 		case "lat_ms":
-			to = &l.LatencyMs
+			target = &report.LatencyMs
 		default:
 			continue
 		}
 		n, err := strconv.ParseFloat(string(value), 64)
 		if err != nil {
-			f.fail("%q is not a load report", pair)
+			p.fail("%q is not a load report", pair)
 		}
-		*to = n
+		*target = n
 	}
-	return l
+	return report
 }
 
-// event carries out one line.
-func (s *server) event(line []byte) error {
-	f := &fields{rest: line}
-	name := f.text()
-	switch string(name) {
+// handleEvent carries out one line.
+func (s *server) handleEvent(line []byte) error {
+	p := &lineParser{rest: line}
+	event := p.nextField()
+	switch string(event) {
 	case "round":
 		if s.inBatch {
 			return errors.New("a batch begins within a batch")
 		}
-		s.now, s.inBatch = f.span(), true
-		return f.err
+		s.now, s.inBatch = p.nextDuration(), true
+		return p.err
 	case "end":
 		if !s.inBatch {
 			return errors.New("a batch ends that has not begun")
@@ -214,159 +216,159 @@
 		return nil
 	}
 	if !s.inBatch {
-		return fmt.Errorf("event %q outside a batch", name)
+		return fmt.Errorf("event %q outside a batch", event)
 	}
-	who := f.text()
-	in := s.instances[string(who)]
-	switch string(name) {
+	instanceName := p.nextField()
+	instance := s.instances[string(instanceName)]
+	switch string(event) {
 	case "open_instance":
-		seed := f.int()
-		if f.err != nil {
-			return f.err
+		seed := p.nextInt()
+		if p.err != nil {
+			return p.err
 		}
-		started, err := config.Parse(f.rest, 0)
+		started, err := config.Parse(p.rest, 0)
 		if err != nil {
 			return err
 		}
-		started.Start(&sender{w: s.out, who: string(who), in: started}, s.now, uint64(seed), 0)
-		s.instances[string(who)] = started
+		started.Start(&actionWriter{out: s.out, instanceName: string(instanceName), instance: started}, s.now, uint64(seed), 0)
+		s.instances[string(instanceName)] = started
 		return nil
 	case "peers_known":
-		return s.list(f, in)
+		return s.handleHostList(p, instance)
 	}
-	if in == nil {
-		return fmt.Errorf("%s for %q, which has not started", name, who)
+	if instance == nil {
+		return fmt.Errorf("%s for %q, which has not started", event, instanceName)
 	}
-	return s.call(string(name), f, in, string(who))
+	return s.handleInstanceEvent(string(event), p, instance, string(instanceName))
 }
 
-func (s *server) call(name string, f *fields, in *config.Instance, who string) error {
-	switch name {
+func (s *server) handleInstanceEvent(event string, p *lineParser, instance *config.Instance, instanceName string) error {
+	switch event {
 	case "ingress":
-		id := logic.TxID(f.int())
-		f.int() // what the bits say: no decision needs it so far
-		tenant := f.text()
-		key := f.text()
-		budget := f.span()
-		f.int() // nor the guess of its cost
-		profile, known := in.ProfileIndexes[string(f.rest)]
-		if !known && f.err == nil {
-			f.fail("unknown profile %q", f.rest)
+		id := logic.TxID(p.nextInt())
+		p.nextInt() // what the bits say: no decision needs it so far
+		tenantName := p.nextField()
+		objectKey := p.nextField()
+		budget := p.nextDuration()
+		p.nextInt() // nor the guess of its cost
+		profile, known := instance.ProfileIndexes[string(p.rest)]
+		if !known && p.err == nil {
+			p.fail("unknown profile %q", p.rest)
 		}
-		a := logic.Arrival{ProfileIndex: profile, TenantIndex: -1, Budget: budget}
-		if in.KeyAffinity && !absent(key) {
-			a.AffinityKey = crc32.ChecksumIEEE(key) | 1
+		arrival := logic.Arrival{ProfileIndex: profile, TenantIndex: -1, Budget: budget}
+		if instance.KeyAffinity && !isAbsent(objectKey) {
+			arrival.AffinityKey = crc32.ChecksumIEEE(objectKey) | 1
 		}
-		if t, ok := in.TenantIndexes[string(tenant)]; ok {
-			a.TenantIndex = t
+		if tenant, ok := instance.TenantIndexes[string(tenantName)]; ok {
+			arrival.TenantIndex = tenant
 		}
-		if f.err == nil {
-			in.TransactionReceived(s.now, id, a)
+		if p.err == nil {
+			instance.TransactionReceived(s.now, id, arrival)
 		}
 	case "response":
-		id, n := logic.TxID(f.int()), int(f.int())
-		f.int() // the host, which the hop names already
-		end, took := f.end(), f.span()
-		over, load := f.int() == 1, f.load()
-		if f.err == nil {
-			in.HopEnded(s.now, id, n, logic.HopResult{Outcome: end, Latency: took, Load: load}, over)
+		id, hop := logic.TxID(p.nextInt()), int(p.nextInt())
+		p.nextInt() // the host, which the hop names already
+		outcome, latency := p.nextOutcome(), p.nextDuration()
+		answered, load := p.nextInt() == 1, p.nextLoadReport()
+		if p.err == nil {
+			instance.HopEnded(s.now, id, hop, logic.HopResult{Outcome: outcome, Latency: latency, Load: load}, answered)
 		}
 	case "echo":
-		host, end := logic.HostID(f.int()), f.text()
-		f.int() // how long it took
-		load := f.load()
-		if string(end) != "pass" {
+		host, outcome := logic.HostID(p.nextInt()), p.nextField()
+		p.nextInt() // how long it took
+		load := p.nextLoadReport()
+		if string(outcome) != "pass" {
 			load = logic.NoLoadReport
 		}
-		if f.err == nil {
-			in.ProbeEnded(s.now, host, load)
+		if p.err == nil {
+			instance.ProbeEnded(s.now, host, load)
 		}
 	case "timeout_fired":
-		if f.int(); f.err == nil {
-			in.TimerFired(s.now)
+		if p.nextInt(); p.err == nil {
+			instance.TimerFired(s.now)
 		}
 	case "whisper":
-		from := int(f.int())
-		if from < 0 || from >= in.GatewayCount {
-			f.fail("no gateway %d", from)
+		from := int(p.nextInt())
+		if from < 0 || from >= instance.GatewayCount {
+			p.fail("no gateway %d", from)
 		}
-		held, err := readHeld(in, f.text())
+		entries, err := decodePeerMessage(instance, p.nextField())
 		if err != nil {
-			f.fail("message: %w", err)
+			p.fail("message: %w", err)
 		}
-		if f.err == nil {
-			in.PeerMessageReceived(s.now, from, held)
+		if p.err == nil {
+			instance.PeerMessageReceived(s.now, from, entries)
 		}
 	case "abandoned":
-		if id := logic.TxID(f.int()); f.err == nil {
-			in.ClientLeft(s.now, id)
+		if id := logic.TxID(p.nextInt()); p.err == nil {
+			instance.ClientLeft(s.now, id)
 		}
 	case "first":
-		if id, n := logic.TxID(f.int()), int(f.int()); f.err == nil {
-			in.ResponseStarted(s.now, id, n)
+		if id, hop := logic.TxID(p.nextInt()), int(p.nextInt()); p.err == nil {
+			instance.ResponseStarted(s.now, id, hop)
 		}
 	case "retire":
-		delete(s.instances, who)
+		delete(s.instances, instanceName)
 	default:
-		return fmt.Errorf("unknown event %q", name)
+		return fmt.Errorf("unknown event %q", event)
 	}
-	if f.err != nil {
-		return fmt.Errorf("%s: %w", name, f.err)
+	if p.err != nil {
+		return fmt.Errorf("%s: %w", event, p.err)
 	}
 	return nil
 }
 
-var kinds = map[int64]logic.ListKind{2: logic.ListChanges, 1: logic.ListComplete, 0: logic.ListCached, 4: logic.ListFailed}
+var listKindsByNumber = map[int64]logic.ListKind{2: logic.ListChanges, 1: logic.ListComplete, 0: logic.ListCached, 4: logic.ListFailed}
 
-// list reads a list with its entries, which stand on lines of their own.
-func (s *server) list(f *fields, in *config.Instance) error {
-	how := f.int()
-	kind, ok := kinds[how]
-	f.int() // its version: lists come in order
-	n := f.int()
-	if f.err == nil && !ok {
-		f.fail("unknown kind of list %d", how)
+// handleHostList reads a list with its entries, which stand on lines of their own.
+func (s *server) handleHostList(p *lineParser, instance *config.Instance) error {
+	kindNumber := p.nextInt()
+	kind, ok := listKindsByNumber[kindNumber]
+	p.nextInt() // its version: lists come in order
+	hostCount := p.nextInt()
+	if p.err == nil && !ok {
+		p.fail("unknown kind of list %d", kindNumber)
 	}
-	if f.err == nil && in == nil {
-		f.fail("for an instance that has not started")
+	if p.err == nil && instance == nil {
+		p.fail("for an instance that has not started")
 	}
-	if f.err != nil {
-		return fmt.Errorf("peers_known: %w", f.err)
+	if p.err != nil {
+		return fmt.Errorf("peers_known: %w", p.err)
 	}
-	hosts := s.hosts[:0]
-	for range n {
-		line, err := s.line()
+	hosts := s.hostBuffer[:0]
+	for range hostCount {
+		line, err := s.readLine()
 		if err != nil {
 			return fmt.Errorf("peers_known: %w", err)
 		}
-		e := &fields{rest: line}
-		if mark := e.text(); string(mark) != "m" {
+		entry := &lineParser{rest: line}
+		if prefix := entry.nextField(); string(prefix) != "m" {
 			return fmt.Errorf("peers_known: %q where an entry belongs", line)
 		}
-		id, zone, machine, cell := e.int(), s.name(e.text()), s.name(e.text()), int(e.int())
-		state := e.int()
-		size := e.number()
+		id, zone, machine, cell := entry.nextInt(), s.intern(entry.nextField()), s.intern(entry.nextField()), int(entry.nextInt())
+		state := entry.nextInt()
+		capacityHint := entry.nextFloat()
 		hosts = append(hosts, logic.Host{ID: logic.HostID(id), Zone: zone, Kind: machine, Cell: cell,
-			State: logic.HostState(state), CapacityHint: size, StartedAt: e.span()})
-		if e.err != nil || state < 0 || state > 2 {
-			return fmt.Errorf("peers_known: entry %q: %w", line, errors.Join(e.err, errBadState(state)))
+			State: logic.HostState(state), CapacityHint: capacityHint, StartedAt: entry.nextDuration()})
+		if entry.err != nil || state < 0 || state > 2 {
+			return fmt.Errorf("peers_known: entry %q: %w", line, errors.Join(entry.err, checkHostState(state)))
 		}
 	}
-	s.hosts = hosts
-	in.HostListReceived(s.now, kind, hosts)
+	s.hostBuffer = hosts
+	instance.HostListReceived(s.now, kind, hosts)
 	return nil
 }
 
-func (s *server) name(text []byte) string {
-	if known, ok := s.names[string(text)]; ok {
+func (s *server) intern(text []byte) string {
+	if known, ok := s.internedNames[string(text)]; ok {
 		return known
 	}
 	name := string(text)
-	s.names[name] = name
+	s.internedNames[name] = name
 	return name
 }
 
-func errBadState(state int64) error {
+func checkHostState(state int64) error {
 	if state < 0 || state > 2 {
 		return fmt.Errorf("unknown state %d", state)
 	}
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -7,13 +7,13 @@
 	"strings"
 )
 
-const settings = `{"balancers":2,"dcs":["a"],"myZone":"a","discovery":"subscribe",` +
+const testSettings = `{"balancers":2,"dcs":["a"],"myZone":"a","discovery":"subscribe",` +
 	`"limits":{"mostHops":3,"mayTell":true,"cancelling":true,"retryAfter":true,"maxRetryAfter":500000},` +
 	`"obligations":{"askWithin":1000000,"warmUp":8000000,"coldFrom":0.3,"fallMultiple":4,"tipAfter":1000000},` +
 	`"profiles":[{"name":"pay","effect":"at_most_once","serviceGoal":400000,"revenue":1,"news":[]}],"extra":{}}`
 
-func play(out io.Writer, lines ...string) {
-	text := strings.ReplaceAll(strings.Join(lines, "\n")+"\n", "SETTINGS", settings)
+func serveLines(out io.Writer, lines ...string) {
+	text := strings.ReplaceAll(strings.Join(lines, "\n")+"\n", "SETTINGS", testSettings)
 	if err := Serve(strings.NewReader(text), out); err != nil {
 		fmt.Println("error:", err)
 	}
@@ -21,7 +21,7 @@
 
 // A batch of every common event, and its reply; an instance that is killed and started again knows nothing.
 func ExampleServe() {
-	play(os.Stdout, "round 1000000", "open_instance gateway/0 5 SETTINGS",
+	serveLines(os.Stdout, "round 1000000", "open_instance gateway/0 5 SETTINGS",
 		"peers_known gateway/0 0 1 1", "m 17 a box 0 1 1 -", "end",
 		"round 2000000",
 		"ingress gateway/0 7 1 - - 900000 - pay",
@@ -56,21 +56,21 @@
 
 // What is malformed ends the run with its line and a plain word on what is wrong.
 func ExampleServe_malformed() {
-	open := "open_instance gateway/0 5 SETTINGS"
+	openInstance := "open_instance gateway/0 5 SETTINGS"
 	for _, lines := range [][]string{
 		{"round 1", "timeout_fired gateway/0 1", "end"},
 		{"round 1", "open_instance gateway/0 5 {\"balancers\":\"two\"}", "end"},
 		{"round 1", "open_instance gateway/0 5 {\"profiles\":[{\"name\":\"x\",\"effect\":\"twice\"}]}", "end"},
 		{"round soon"}, {"timeout_fired gateway/0 1"},
-		{"round 1", open, "ingress gateway/0 7", "end"},
-		{"round 1", open, "response gateway/0 7 0 17 lost 1 0 -", "end"},
-		{"round 1", open, "response gateway/0 7 0 17 pass 1 1 rif:many", "end"},
-		{"round 1", open, "peers_known gateway/0 1 1 1", "m 17 a box 0 7 1 -", "end"},
-		{"round 1", open, "whisper gateway/0 1 11zz", "end"}, {"round 1", open, "whisper gateway/0 2 -", "end"},
-		{"round 1", open, "whisper gateway/0 1 1100000002ff00000000", "end"},
+		{"round 1", openInstance, "ingress gateway/0 7", "end"},
+		{"round 1", openInstance, "response gateway/0 7 0 17 lost 1 0 -", "end"},
+		{"round 1", openInstance, "response gateway/0 7 0 17 pass 1 1 rif:many", "end"},
+		{"round 1", openInstance, "peers_known gateway/0 1 1 1", "m 17 a box 0 7 1 -", "end"},
+		{"round 1", openInstance, "whisper gateway/0 1 11zz", "end"}, {"round 1", openInstance, "whisper gateway/0 2 -", "end"},
+		{"round 1", openInstance, "whisper gateway/0 1 1100000002ff00000000", "end"},
 		{"round 1"},
 	} {
-		play(io.Discard, lines...)
+		serveLines(io.Discard, lines...)
 	}
 	// Output:
 	// error: line 2: timeout_fired for "gateway/0", which has not started
