--- a/cmd/spanmux/largefleet_plain_test.go
+++ b/cmd/spanmux/largefleet_plain_test.go
@@ -5,9 +5,9 @@
 import "time"
 
 const (
-	// largeMemory is the most memory that a process before so many gateways and hosts may have had in use, in kB, of the 64 MB that it is
+	// maxLargeFleetMemoryKB is the most memory that a process before so many gateways and hosts may have had in use, in kB, of the 64 MB that it is
 	// given: half of that, as another process may follow it, beside the program's own text.
-	largeMemory = 48 << 10
-	// largeAnswer is the time for all other gateways that ask at the same moment to be answered.
-	largeAnswer = 2 * time.Second
+	maxLargeFleetMemoryKB = 48 << 10
+	// largeFleetPickTimeout is the time for all other gateways that ask at the same moment to be answered.
+	largeFleetPickTimeout = 2 * time.Second
 )
--- a/cmd/spanmux/largefleet_test.go
+++ b/cmd/spanmux/largefleet_test.go
@@ -22,16 +22,16 @@
 )
 
 const (
-	// largeFleet is how many gateways, and how many hosts, the program may not fall short of.
-	largeFleet = 1024
-	// largeReady is the time for a process to take clients with so many of both.
-	largeReady = 3 * time.Second
-	// largeThreads is the most threads that it may have, however many gateways and hosts there are.
-	largeThreads = 40
+	// largeFleetSize is how many gateways, and how many hosts, the program may not fall short of.
+	largeFleetSize = 1024
+	// maxLargeFleetStartDuration is the time for a process to take clients with so many of both.
+	maxLargeFleetStartDuration = 3 * time.Second
+	// maxLargeFleetThreads is the most threads that it may have, however many gateways and hosts there are.
+	maxLargeFleetThreads = 40
 )
 
-// largeHosts is so many hosts, each at an address of its own, with the discovery that lists them.
-type largeHosts struct {
+// hostFleet is so many hosts, each at an address of its own, with the discovery that lists them.
+type hostFleet struct {
 	mu        sync.Mutex
 	reached   map[string]bool // by address
 	served    atomic.Int64
@@ -39,9 +39,9 @@
 	discovery string
 }
 
-func openLargeHosts(t *testing.T) *largeHosts {
+func startHostFleet(t *testing.T) *hostFleet {
 	t.Helper()
-	h := &largeHosts{reached: map[string]bool{}}
+	h := &hostFleet{reached: map[string]bool{}}
 	ln, err := net.Listen("tcp4", "0.0.0.0:0")
 	if err != nil {
 		t.Fatal(err)
@@ -51,7 +51,7 @@
 	t.Cleanup(func() { hosts.Close() })
 
 	var targets []map[string]any
-	for i := range largeFleet {
+	for i := range largeFleetSize {
 		targets = append(targets, map[string]any{"uid": fmt.Sprintf("host-%08x", i), "az": "a", "model": "m2", "pod_group": i, "state": "in_service",
 			"capacity_hint": 1, "endpoint": fmt.Sprintf("127.1.%d.%d:%d", i>>8, i&255, ln.Addr().(*net.TCPAddr).Port)})
 	}
@@ -70,7 +70,7 @@
 	return h
 }
 
-func (h *largeHosts) serve(w http.ResponseWriter, r *http.Request) {
+func (h *hostFleet) serve(w http.ResponseWriter, r *http.Request) {
 	at, _ := r.Context().Value(http.LocalAddrContextKey).(net.Addr)
 	h.mu.Lock()
 	h.reached[at.String()] = true
@@ -83,16 +83,16 @@
 	io.WriteString(w, "answer")
 }
 
-func (h *largeHosts) reachedHosts() int {
+func (h *hostFleet) reachedHosts() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.reached)
 }
 
-// largePeers are the other gateways, with the address that is left for the one which is tested.
-func largePeers(t *testing.T) (peers []*net.UDPConn, addrs []string) {
+// openPeerSockets are the other gateways, with the address that is left for the one which is tested.
+func openPeerSockets(t *testing.T) (peers []*net.UDPConn, addrs []string) {
 	t.Helper()
-	for i := range largeFleet {
+	for i := range largeFleetSize {
 		c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if err != nil {
 			t.Fatal(err)
@@ -108,26 +108,26 @@
 	return peers, addrs
 }
 
-// asksOf has each of other gateways ask one for a host, all at once, and counts those that are answered with one within a time.
-func asksOf(peers []*net.UDPConn, to string, within time.Duration) (answered int) {
-	const kindAsks, kindAnswer, entry = 3, 4, 10
+// requestPicks has each of other gateways ask one for a host, all at once, and counts those that are answered with one within a time.
+func requestPicks(peers []*net.UDPConn, to string, timeout time.Duration) (answered int) {
+	const kindPickRequest, kindPickResponse, entryBytes = 3, 4, 10
 	profile := uint16(crc32.ChecksumIEEE([]byte("read")))
-	ask := binary.LittleEndian.AppendUint16([]byte{0, 0, 0, 0, 0, kindAsks << 4}, profile)
-	ask = append(ask, 0, 0)
-	at := netip.MustParseAddrPort(to)
-	for _, c := range peers {
-		c.WriteToUDPAddrPort(ask, at)
-	}
-	until := time.Now().Add(within)
-	for _, c := range peers {
-		c.SetReadDeadline(until)
+	request := binary.LittleEndian.AppendUint16([]byte{0, 0, 0, 0, 0, kindPickRequest << 4}, profile)
+	request = append(request, 0, 0)
+	gateway := netip.MustParseAddrPort(to)
+	for _, conn := range peers {
+		conn.WriteToUDPAddrPort(request, gateway)
+	}
+	deadline := time.Now().Add(timeout)
+	for _, conn := range peers {
+		conn.SetReadDeadline(deadline)
 		msg := make([]byte, 256)
 		for {
-			n, err := c.Read(msg)
+			n, err := conn.Read(msg)
 			if err != nil {
 				break
 			}
-			if n == entry && msg[5]>>4 == kindAnswer {
+			if n == entryBytes && msg[5]>>4 == kindPickResponse {
 				if binary.LittleEndian.Uint32(msg) != 0 {
 					answered++
 				}
@@ -138,8 +138,8 @@
 	return answered
 }
 
-// status is a figure of a process as the system has it.
-func status(t *testing.T, p *exec.Cmd, name string) int {
+// processStatus is a figure of a process as the system has it.
+func processStatus(t *testing.T, p *exec.Cmd, name string) int {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.Process.Pid))
 	if err != nil {
@@ -161,67 +161,67 @@
 // soon, serves them, answers all other gateways that ask it for a host at the same time, takes its file again, and hands over to the next
 // process, all within a small gateway's memory.
 func TestLargeFleetProcess(t *testing.T) {
-	hosts := openLargeHosts(t)
-	peers, addrs := largePeers(t)
-	addr, socket, dir := shared()
+	hosts := startHostFleet(t)
+	peers, addrs := openPeerSockets(t)
+	addr, socket, dir := sharedListener()
 	defer os.RemoveAll(dir)
 	settings := fmt.Sprintf(`{"balancers":%d,"me":0,"dcs":["a"],"myZone":"a","discovery":"subscribe","report":{"via":"probe","fields":["rif","q"]},`+
 		`"obligations":{"askWithin":2000000,"drainGrace":400000},"limits":{"mostHops":2,"mayTell":true,"probes":true,"connectTimeout":300000,`+
-		`"connIdle":4000000},"profiles":[{"name":"read","effect":"idempotent","serviceGoal":1000000,"hardLimit":2000000,"revenue":1}]}`, largeFleet)
-	start := func(n int, known json.RawMessage) (p *exec.Cmd, door string) {
-		door = free()
-		began := time.Now()
-		p = process(dir, n, 400, largeFleet, map[string]any{"name": "large", "control": door, "discovery": hosts.discovery, "peer_listen": addrs[0],
+		`"connIdle":4000000},"profiles":[{"name":"read","effect":"idempotent","serviceGoal":1000000,"hardLimit":2000000,"revenue":1}]}`, largeFleetSize)
+	start := func(n int, known json.RawMessage) (p *exec.Cmd, admin string) {
+		admin = freeAddress()
+		started := time.Now()
+		p = startProcess(dir, n, 400, largeFleetSize, map[string]any{"name": "large", "control": admin, "discovery": hosts.discovery, "peer_listen": addrs[0],
 			"peers": addrs, "known": known, "settings": json.RawMessage(settings)}, socket)
 		t.Cleanup(func() { p.Process.Kill() })
-		if !soon(func() bool { return within(door, "ready", "yes") }) {
+		if !eventually(func() bool { return adminAnswers(admin, "ready", "yes") }) {
 			t.Fatal("never ready")
 		}
-		took := time.Since(began)
-		if t.Logf("ready after %v", took); took > largeReady {
-			t.Errorf("ready after %v", took)
+		startDuration := time.Since(started)
+		if t.Logf("ready after %v", startDuration); startDuration > maxLargeFleetStartDuration {
+			t.Errorf("ready after %v", startDuration)
 		}
-		return p, door
+		return p, admin
 	}
-	serve := func(p *exec.Cmd, door string) {
-		soon(func() bool { return asksOf(peers[:1], addrs[0], 100*time.Millisecond) == 1 }) // the datagrams' address is its own by now
-		answered := asksOf(peers, addrs[0], largeAnswer)
+	checkServes := func(p *exec.Cmd, admin string) {
+		eventually(func() bool { return requestPicks(peers[:1], addrs[0], 100*time.Millisecond) == 1 }) // the datagrams' address is its own by now
+		answered := requestPicks(peers, addrs[0], largeFleetPickTimeout)
 		served := 0
 		for i := range 100 {
-			served += int(asks(addr, fmt.Sprint(p.Process.Pid, "-", i)))
+			served += int(sendRequest(addr, fmt.Sprint(p.Process.Pid, "-", i)))
 		}
-		var shown struct{ Discovered, Ejected int }
-		if err := json.Unmarshal([]byte(call("GET", door, "metrics")), &shown); err != nil {
+		var metrics struct{ Discovered, Ejected int }
+		if err := json.Unmarshal([]byte(adminRequest("GET", admin, "metrics")), &metrics); err != nil {
 			t.Error(err)
 		}
-		if answered != len(peers) || served != 100 || shown.Discovered != largeFleet || shown.Ejected != 0 {
-			t.Errorf("%d of %d gateways were answered, %d of 100 clients; %+v", answered, len(peers), served, shown)
+		if answered != len(peers) || served != 100 || metrics.Discovered != largeFleetSize || metrics.Ejected != 0 {
+			t.Errorf("%d of %d gateways were answered, %d of 100 clients; %+v", answered, len(peers), served, metrics)
 		}
 		p.Process.Signal(syscall.SIGHUP)
-		if !soon(func() bool { return strings.Contains(call("GET", door, "metrics"), `"sighup_applied":1`) }) {
+		if !eventually(func() bool { return strings.Contains(adminRequest("GET", admin, "metrics"), `"sighup_applied":1`) }) {
 			t.Error("its file is not taken again")
 		}
 	}
-	small := func(p *exec.Cmd) {
-		memory, threads := status(t, p, "VmHWM"), status(t, p, "Threads")
-		if t.Logf("%d kB, %d threads", memory, threads); memory > largeMemory || threads > largeThreads {
+	checkResources := func(p *exec.Cmd) {
+		memory, threads := processStatus(t, p, "VmHWM"), processStatus(t, p, "Threads")
+		if t.Logf("%d kB, %d threads", memory, threads); memory > maxLargeFleetMemoryKB || threads > maxLargeFleetThreads {
 			t.Errorf("%d kB of memory, %d threads", memory, threads)
 		}
 	}
 
-	first, door := start(1, nil)
-	serve(first, door)
-	if !soon(func() bool { return hosts.reachedHosts() == largeFleet }) { // by probes
+	first, admin := start(1, nil)
+	checkServes(first, admin)
+	if !eventually(func() bool { return hosts.reachedHosts() == largeFleetSize }) { // by probes
 		t.Errorf("only %d hosts reached", hosts.reachedHosts())
 	}
-	small(first)
-	second, door := start(2, hosts.list)
+	checkResources(first)
+	second, admin := start(2, hosts.list)
 	first.Process.Signal(syscall.SIGTERM)
 	if err := first.Wait(); err != nil {
 		t.Error(err)
 	}
-	serve(second, door)
-	small(second)
+	checkServes(second, admin)
+	checkResources(second)
 	second.Process.Signal(syscall.SIGTERM)
 	if err := second.Wait(); err != nil {
 		t.Error(err)
--- a/cmd/spanmux/main.go
+++ b/cmd/spanmux/main.go
@@ -27,27 +27,27 @@
 )
 
 const (
-	memoryPart = 0.75 // of the limit that the heap may grow to: stacks, sockets' buffers and files count too
-	heapGrowth = 400  // percent before a collection: the heap is small, the memory limit bounds it
+	memoryLimitFraction = 0.75 // of the limit that the heap may grow to: stacks, sockets' buffers and files count too
+	gcPercent           = 400  // percent before a collection: the heap is small, the memory limit bounds it
 )
 
-// told is what a gateway finds in its file of what it is told.
-type told struct {
-	Name      string `json:"name"`
-	Listen    string `json:"listen"`
-	Control   string `json:"control"`
-	Discovery string `json:"discovery"`
-	Seed      string `json:"seed"`
-	Limits    struct {
+// configFile is what a gateway finds in its file of what it is told.
+type configFile struct {
+	Name        string `json:"name"`
+	Listen      string `json:"listen"`
+	AdminListen string `json:"control"`
+	Discovery   string `json:"discovery"`
+	Seed        string `json:"seed"`
+	Limits      struct {
 		Cores    float64 `json:"cores"`
 		MemoryMB int64   `json:"memory_mb"`
 		Sockets  int     `json:"sockets"`
 	} `json:"limits"`
-	PeerListen string          `json:"peer_listen"`
-	Peers      []string        `json:"peers"`
-	PeersAll   string          `json:"peers_all"`
-	Known      json.RawMessage `json:"known"`
-	Settings   json.RawMessage `json:"settings"`
+	PeerListen      string          `json:"peer_listen"`
+	Peers           []string        `json:"peers"`
+	AllPeersAddress string          `json:"peers_all"`
+	KnownHostList   json.RawMessage `json:"known"`
+	Settings        json.RawMessage `json:"settings"`
 }
 
 func main() {
@@ -59,21 +59,21 @@
 	}
 }
 
-// read reads what the gateway is told.
-func read(path string) (t told, text []byte, err error) {
+// readConfig reads what the gateway is told.
+func readConfig(path string) (cfg configFile, text []byte, err error) {
 	text, err = os.ReadFile(path)
 	if err != nil {
-		return t, nil, err
+		return cfg, nil, err
 	}
-	if err = json.Unmarshal(text, &t); err != nil {
+	if err = json.Unmarshal(text, &cfg); err != nil {
 		err = fmt.Errorf("%s: %w", path, err)
 	}
-	t.Control = cmp.Or(t.Control, os.Getenv("BALANCER_CONTROL"))
-	return t, text, err
+	cfg.AdminListen = cmp.Or(cfg.AdminListen, os.Getenv("BALANCER_CONTROL"))
+	return cfg, text, err
 }
 
-// listen opens the address for clients, or takes the socket that the platform holds for all processes of the gateway.
-func listen(addr, descriptor string) (net.Listener, error) {
+// listenForClients opens the address for clients, or takes the socket that the platform holds for all processes of the gateway.
+func listenForClients(addr, descriptor string) (net.Listener, error) {
 	if descriptor != "" {
 		return transport.InheritedListener(descriptor)
 	}
@@ -84,106 +84,106 @@
 func run(path string, out io.Writer) error {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1, syscall.SIGHUP)
-	t, inForce, err := read(path)
+	cfg, current, err := readConfig(path)
 	if err != nil {
 		return err
 	}
-	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, nil)).With("gateway", t.Name))
-	seed, err := strconv.ParseUint(t.Seed, 16, 64)
+	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, nil)).With("gateway", cfg.Name))
+	seed, err := strconv.ParseUint(cfg.Seed, 16, 64)
 	if err != nil {
 		return fmt.Errorf("seed: %w", err)
 	}
-	if t.Limits.Cores > 0 {
-		runtime.GOMAXPROCS(int(math.Ceil(t.Limits.Cores)))
+	if cfg.Limits.Cores > 0 {
+		runtime.GOMAXPROCS(int(math.Ceil(cfg.Limits.Cores)))
 	}
-	if part := memoryPart; t.Limits.MemoryMB > 0 {
+	if fraction := memoryLimitFraction; cfg.Limits.MemoryMB > 0 {
 		if os.Getenv("BALANCER_ACCEPT_FD") != "" { // what this process may use it shares with the next
-			part /= 2
+			fraction /= 2
 		}
-		debug.SetMemoryLimit(int64(part * float64(t.Limits.MemoryMB<<20)))
+		debug.SetMemoryLimit(int64(fraction * float64(cfg.Limits.MemoryMB<<20)))
 	}
-	debug.SetGCPercent(heapGrowth)
+	debug.SetGCPercent(gcPercent)
 
-	if err := config.CheckSettings(t.Settings, len(t.Peers)); err != nil {
+	if err := config.CheckSettings(cfg.Settings, len(cfg.Peers)); err != nil {
 		return err
 	}
-	desk, err := routing.NewDispatcher(t.Settings)
+	dispatcher, err := routing.NewDispatcher(cfg.Settings)
 	if err != nil {
 		return err
 	}
-	shared := os.Getenv("BALANCER_ACCEPT_FD")
-	ln, err := listen(t.Listen, shared)
+	inheritedSocket := os.Getenv("BALANCER_ACCEPT_FD")
+	listener, err := listenForClients(cfg.Listen, inheritedSocket)
 	if err != nil {
 		return err
 	}
-	open, beside := func() {}, 0
-	if t.Control != "" {
-		door, err := control.Listen(t.Control, desk)
+	serveAdmin, adminConnections := func() {}, 0
+	if cfg.AdminListen != "" {
+		admin, err := control.Listen(cfg.AdminListen, dispatcher)
 		if err != nil { // nobody could drain it or read its figures: better seen now than when they try to
 			return fmt.Errorf("door for operators: %w", err)
 		}
-		defer door.Close()
-		open = func() { go door.Serve() }
-		beside = control.MaxConnections
+		defer admin.Close()
+		serveAdmin = func() { go admin.Serve() }
+		adminConnections = control.MaxConnections
 	}
-	desk.ConfigureListener(ln, shared != "", t.Limits.Sockets, beside, t.Limits.MemoryMB<<20)
-	if t.PeerListen != "" {
-		if err := desk.JoinPeers(t.PeerListen, t.Peers, t.PeersAll); err != nil {
+	dispatcher.ConfigureListener(listener, inheritedSocket != "", cfg.Limits.Sockets, adminConnections, cfg.Limits.MemoryMB<<20)
+	if cfg.PeerListen != "" {
+		if err := dispatcher.JoinPeers(cfg.PeerListen, cfg.Peers, cfg.AllPeersAddress); err != nil {
 			slog.Error("goes on without telling other gateways", "error", err) // each keeps all rules alone
 		}
 	}
-	var known *protocol.HostList
-	if len(t.Known) > 0 {
-		if known, err = protocol.ParseHostList(t.Known); err != nil {
+	var knownHosts *protocol.HostList
+	if len(cfg.KnownHostList) > 0 {
+		if knownHosts, err = protocol.ParseHostList(cfg.KnownHostList); err != nil {
 			slog.Warn("known list left out", "error", err)
 		}
 	}
-	if shared != "" {
-		heir := filepath.Join(os.TempDir(), fmt.Sprintf("spanmux-%08x", crc32.ChecksumIEEE([]byte(t.Name+t.Listen))))
-		if err := desk.ListenForHandover(heir); err != nil {
+	if inheritedSocket != "" {
+		handoverSocket := filepath.Join(os.TempDir(), fmt.Sprintf("spanmux-%08x", crc32.ChecksumIEEE([]byte(cfg.Name+cfg.Listen))))
+		if err := dispatcher.ListenForHandover(handoverSocket); err != nil {
 			slog.Warn("answers under way can't be handed over", "error", err)
 		}
 	}
-	desk.Start(seed, t.Discovery, known)
-	go desk.Serve()
-	open()
-	slog.Info("gateway listens", "at", t.Listen, "sockets", t.Limits.Sockets)
+	dispatcher.Start(seed, cfg.Discovery, knownHosts)
+	go dispatcher.Serve()
+	serveAdmin()
+	slog.Info("gateway listens", "at", cfg.Listen, "sockets", cfg.Limits.Sockets)
 
-	for s := <-signals; s == syscall.SIGUSR1 || s == syscall.SIGHUP; s = <-signals {
-		if s == syscall.SIGHUP {
-			inForce = reload(path, inForce, desk)
+	for received := <-signals; received == syscall.SIGUSR1 || received == syscall.SIGHUP; received = <-signals {
+		if received == syscall.SIGHUP {
+			current = reload(path, current, dispatcher)
 		} else {
-			fmt.Fprint(out, desk.CountersText())
+			fmt.Fprint(out, dispatcher.CountersText())
 		}
 	}
 	slog.Info("gateway ends: no new clients soon")
-	desk.Close()
-	fmt.Fprint(out, desk.CountersText())
+	dispatcher.Close()
+	fmt.Fprint(out, dispatcher.CountersText())
 	return nil
 }
 
 // reload reads the file again and takes all that may change under way, or nothing: the file that is in force from then on is
 // given back. One that is missing, torn, incomplete or makes no sense leaves what is in force: this gateway serves, and half a word
 // is no reason to stop, nor to go on by half.
-func reload(path string, inForce []byte, desk *routing.Dispatcher) []byte {
-	t, text, err := read(path)
+func reload(path string, current []byte, dispatcher *routing.Dispatcher) []byte {
+	cfg, text, err := readConfig(path)
 	if err == nil {
-		err = config.CheckComplete(inForce, text, "known")
+		err = config.CheckComplete(current, text, "known")
 	}
 	if err == nil {
-		err = config.CheckAddress("discovery", t.Discovery)
+		err = config.CheckAddress("discovery", cfg.Discovery)
 	}
-	var to *config.SettingsUpdate
+	var update *config.SettingsUpdate
 	if err == nil {
-		to, err = desk.CheckSettings(t.Settings, len(t.Peers))
+		update, err = dispatcher.CheckSettings(cfg.Settings, len(cfg.Peers))
 	}
 	if err != nil {
-		desk.Counters.SettingsRejected.Add(1)
+		dispatcher.Counters.SettingsRejected.Add(1)
 		slog.Warn("file turned down, all stays as it was", "error", err)
-		return inForce
+		return current
 	}
-	desk.ApplySettings(to, t.Discovery)
-	desk.Counters.SettingsApplied.Add(1)
-	slog.Info("file taken", "discovery", t.Discovery)
+	dispatcher.ApplySettings(update, cfg.Discovery)
+	dispatcher.Counters.SettingsApplied.Add(1)
+	slog.Info("file taken", "discovery", cfg.Discovery)
 	return text
 }
--- a/cmd/spanmux/main_test.go
+++ b/cmd/spanmux/main_test.go
@@ -25,20 +25,20 @@
 		}))
 		return strings.TrimPrefix(server.URL, "http://")
 	}
-	free, _ := net.Listen("tcp", "127.0.0.1:0")
-	free.Close()
+	listener, _ := net.Listen("tcp", "127.0.0.1:0")
+	listener.Close()
 	dir, _ := os.MkdirTemp("", "spanmux")
 	defer os.RemoveAll(dir)
 	path := filepath.Join(dir, "config.json")
-	tell := func(text string) { os.WriteFile(path, []byte(text), 0o600) }
-	at := func(discovery string) string {
-		text, _ := json.Marshal(map[string]any{"listen": free.Addr().String(), "discovery": discovery, "seed": "7",
+	writeConfig := func(text string) { os.WriteFile(path, []byte(text), 0o600) }
+	configText := func(discovery string) string {
+		text, _ := json.Marshal(map[string]any{"listen": listener.Addr().String(), "discovery": discovery, "seed": "7",
 			"settings": json.RawMessage(`{"balancers":1,"dcs":["a"],"myZone":"a","discovery":"subscribe",` +
 				`"obligations":{"askWithin":1000},"limits":{"mostHops":2},"profiles":[` +
 				`{"name":"read","effect":"idempotent","serviceGoal":2000000,"hardLimit":2000000,"revenue":1}]}`)})
 		return string(text)
 	}
-	called := func() {
+	printNextCall := func() {
 		select {
 		case call := <-calls:
 			fmt.Println(call)
@@ -46,17 +46,17 @@
 			fmt.Println("no call")
 		}
 	}
-	tell(at(discovery("first")))
+	writeConfig(configText(discovery("first")))
 	ended := make(chan error)
 	go func() { ended <- run(path, io.Discard) }()
-	called()
-	moved := at(discovery("second"))
+	printNextCall()
+	moved := configText(discovery("second"))
 	for _, text := range []string{moved[:len(moved)-9], "{}", moved} {
-		tell(text)
+		writeConfig(text)
 		syscall.Kill(os.Getpid(), syscall.SIGHUP)
 		time.Sleep(20 * time.Millisecond) // as one for each file
 	}
-	called()
+	printNextCall()
 	syscall.Kill(os.Getpid(), syscall.SIGTERM)
 	fmt.Println("ended, error:", <-ended)
 	// Output:
--- a/cmd/spanmux/process_test.go
+++ b/cmd/spanmux/process_test.go
@@ -20,15 +20,15 @@
 	"time"
 )
 
-// refuse has the kernel refuse this process what a platform may refuse; it is nil where this test does not know the kernel's calls.
-var refuse func()
+// restrictSyscalls has the kernel refuse this process what a platform may refuse; it is nil where this test does not know the kernel's calls.
+var restrictSyscalls func()
 
 // TestMain lets a test start this program as a process of its own.
 func TestMain(m *testing.M) {
 	if os.Getenv("SPANMUX_TEST_RUN") != "" {
 		os.Args = os.Args[:1]
 		if os.Getenv("SPANMUX_TEST_REFUSE") != "" {
-			refuse()
+			restrictSyscalls()
 		}
 		main()
 		os.Exit(0)
@@ -36,25 +36,25 @@
 	os.Exit(m.Run())
 }
 
-// gateway starts the program beside others on the socket of ln, with a door of its own, and waits until it takes clients.
-func gateway(ln *os.File, dir string, n int, discovery, peer string) (p *exec.Cmd, door string) {
-	return gatewayWithin(nil, ln, dir, n, discovery, peer, 2*time.Second)
+// startGateway starts the program beside others on the socket of ln, with a door of its own, and waits until it takes clients.
+func startGateway(listener *os.File, dir string, n int, discovery, peer string) (p *exec.Cmd, admin string) {
+	return startGatewayWithLimit(nil, listener, dir, n, discovery, peer, 2*time.Second)
 }
 
-// gatewayLogging is the same with a log.
-func gatewayLogging(log, ln *os.File, dir string, n int, discovery, peer string) (p *exec.Cmd, door string) {
-	return gatewayWithin(log, ln, dir, n, discovery, peer, 2*time.Second)
+// startGatewayWithLog is the same with a log.
+func startGatewayWithLog(log, listener *os.File, dir string, n int, discovery, peer string) (p *exec.Cmd, admin string) {
+	return startGatewayWithLimit(log, listener, dir, n, discovery, peer, 2*time.Second)
 }
 
-// gatewayWithin is the same with a hard limit of its own.
-func gatewayWithin(log, ln *os.File, dir string, n int, discovery, peer string, limit time.Duration) (p *exec.Cmd, door string) {
-	door = free()
+// startGatewayWithLimit is the same with a hard limit of its own.
+func startGatewayWithLimit(log, listener *os.File, dir string, n int, discovery, peer string, hardLimit time.Duration) (p *exec.Cmd, admin string) {
+	admin = freeAddress()
 	path := filepath.Join(dir, fmt.Sprint(n))
-	text, err := json.Marshal(map[string]any{"listen": "127.0.0.1:1", "control": door, "discovery": discovery, "seed": "7",
+	text, err := json.Marshal(map[string]any{"listen": "127.0.0.1:1", "control": admin, "discovery": discovery, "seed": "7",
 		"peer_listen": peer, "peers": []string{peer}, "limits": map[string]any{"sockets": 400, "memory_mb": 32},
 		"settings": json.RawMessage(`{"balancers":1,"dcs":["a"],"myZone":"a","discovery":"subscribe",` +
 			`"obligations":{"askWithin":1000000},"limits":{"mostHops":2,"mayTell":true},"profiles":[` +
-			`{"name":"read","effect":"idempotent","serviceGoal":2000000,"hardLimit":` + fmt.Sprint(limit.Microseconds()) + `,"revenue":1},` +
+			`{"name":"read","effect":"idempotent","serviceGoal":2000000,"hardLimit":` + fmt.Sprint(hardLimit.Microseconds()) + `,"revenue":1},` +
 			`{"name":"write","effect":"deduplicated","group":"all","window":2000000,"serviceGoal":2000000,"hardLimit":2000000,` +
 			`"revenue":1}]}`)})
 	if err != nil || os.WriteFile(path, text, 0o600) != nil {
@@ -62,7 +62,7 @@
 	}
 	p = exec.Command(os.Args[0])
 	p.Env = append(os.Environ(), "SPANMUX_TEST_RUN=1", "BALANCER_CONFIG="+path, "BALANCER_ACCEPT_FD=3", "TMPDIR="+dir)
-	p.ExtraFiles = []*os.File{ln}
+	p.ExtraFiles = []*os.File{listener}
 	if log != nil {
 		p.Stderr = log
 	}
@@ -72,65 +72,65 @@
 	if err := p.Start(); err != nil {
 		panic(err)
 	}
-	for end := time.Now().Add(5 * time.Second); call("GET", door, "ready") != "yes"; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(5 * time.Second); adminRequest("GET", admin, "ready") != "yes"; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
 			panic("never ready")
 		}
 	}
-	return p, door
+	return p, admin
 }
 
-var freeCalls atomic.Uint32
+var freeAddressCalls atomic.Uint32
 
-// free is an address that nobody listens at. Each has a loopback IP of its own: between the closing here and the listening there a port of
+// freeAddress is an address that nobody listens at. Each has a loopback IP of its own: between the closing here and the listening there a port of
 // 127.0.0.1 may become that of an outgoing connection, as thirty processes that call discovery make thousands ("address already in use").
-func free() string {
-	process, call := os.Getpid(), freeCalls.Add(1)
+func freeAddress() string {
+	process, call := os.Getpid(), freeAddressCalls.Add(1)
 	ip := net.IPv4(127, byte(1+process>>8%250), byte(process), byte(1+call%250))
-	ln, err := net.Listen("tcp", net.JoinHostPort(ip.String(), "0"))
+	listener, err := net.Listen("tcp", net.JoinHostPort(ip.String(), "0"))
 	if err != nil {
 		panic(err)
 	}
-	defer ln.Close()
-	return ln.Addr().String()
+	defer listener.Close()
+	return listener.Addr().String()
 }
 
 // dial is a client's new connection.
 func dial(addr string) net.Conn {
-	nc, err := net.Dial("tcp", addr)
+	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		panic(err)
 	}
-	return nc
+	return conn
 }
 
-// call is what an operator gets.
-func call(method, door, what string) string {
-	r, err := http.NewRequest(method, "http://"+door+"/-/"+what, nil)
+// adminRequest is what an operator gets.
+func adminRequest(method, admin, path string) string {
+	request, err := http.NewRequest(method, "http://"+admin+"/-/"+path, nil)
 	if err != nil {
 		return err.Error()
 	}
-	answer, err := http.DefaultClient.Do(r)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return "no answer"
 	}
-	defer answer.Body.Close()
-	text, _ := io.ReadAll(answer.Body)
+	defer response.Body.Close()
+	text, _ := io.ReadAll(response.Body)
 	return strings.TrimSpace(string(text))
 }
 
-// counter is what a gateway that has ended counted.
-func counter(dir string, n int, name string) string {
+// counterValue is what a gateway that has ended counted.
+func counterValue(dir string, n int, name string) string {
 	text, _ := os.ReadFile(filepath.Join(dir, fmt.Sprint(n, ".counters")))
 	_, after, _ := strings.Cut(string(text), "spanmux_"+name+" ")
 	value, _, _ := strings.Cut(after, "\n")
 	return value
 }
 
-// soon waits for what is to come about, for ten seconds at the most.
-func soon(so func() bool) bool {
+// eventually waits for what is to come about, for ten seconds at the most.
+func eventually(condition func() bool) bool {
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if so() {
+		if condition() {
 			return true
 		}
 	}
@@ -144,40 +144,40 @@
 // ExampleClient_MarkActive_rejected): on a new connection it counted as turned back, on a kept one it hid among those that cross. The first's
 // own count tells both. How much is asked before and after is counted, not timed: under load the pace is the machine's.
 func Example_replaced() {
-	at := listing(1, func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "answer") })
-	addr, socket, dir := shared()
+	discovery := startDiscovery(1, func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "answer") })
+	addr, socket, dir := sharedListener()
 	defer os.RemoveAll(dir)
-	peer := free()
-	first, door := gateway(socket, dir, 1, at, peer)
-	var asked, crossed, turnedBack atomic.Int64
+	peer := freeAddress()
+	first, admin := startGateway(socket, dir, 1, discovery, peer)
+	var sent, closedWhileIdle, rejected atomic.Int64
 	stop, stopped := make(chan bool), make(chan bool)
 	for n := range 8 {
 		go func() {
-			client(addr, n, stop, &asked, &crossed, &turnedBack)
+			runClient(addr, n, stop, &sent, &closedWhileIdle, &rejected)
 			stopped <- true
 		}()
 	}
-	before := soon(func() bool { return asked.Load() > 150 })
-	second, door2 := gateway(socket, dir, 2, at, peer)
+	enoughRequests := eventually(func() bool { return sent.Load() > 150 })
+	second, admin2 := startGateway(socket, dir, 2, discovery, peer)
 	first.Process.Signal(syscall.SIGTERM)
 	ended := first.Wait()
-	after := asked.Load() + 150
-	before = soon(func() bool { return asked.Load() > after }) && before
+	target := sent.Load() + 150
+	enoughRequests = eventually(func() bool { return sent.Load() > target }) && enoughRequests
 	close(stop)
 	for range 8 {
 		<-stopped
 	}
-	fmt.Println("asked:", before, "turned back:", turnedBack.Load(), "crossed:", crossed.Load() > 4, "first ended:", ended)
-	fmt.Println("taken by the first and left without an answer:", counter(dir, 1, "tx_left"))
-	fmt.Println("first:", call("GET", door, "ready"), "second:", call("GET", door2, "ready"))
+	fmt.Println("asked:", enoughRequests, "turned back:", rejected.Load(), "crossed:", closedWhileIdle.Load() > 4, "first ended:", ended)
+	fmt.Println("taken by the first and left without an answer:", counterValue(dir, 1, "tx_left"))
+	fmt.Println("first:", adminRequest("GET", admin, "ready"), "second:", adminRequest("GET", admin2, "ready"))
 	conn, err := net.ListenPacket("udp", peer)
 	fmt.Println("datagrams go to the second:", conn == nil && err != nil)
-	var shown struct {
+	var metrics struct {
 		Succeeded map[string]int64
 		Forwards  int64
 	}
-	json.Unmarshal([]byte(call("GET", door2, "metrics")), &shown)
-	fmt.Println("the second's figures:", shown.Succeeded["read"] > 50 && shown.Forwards >= shown.Succeeded["read"])
+	json.Unmarshal([]byte(adminRequest("GET", admin2, "metrics")), &metrics)
+	fmt.Println("the second's figures:", metrics.Succeeded["read"] > 50 && metrics.Forwards >= metrics.Succeeded["read"])
 	second.Process.Signal(syscall.SIGTERM)
 	fmt.Println("second ended:", second.Wait())
 	// Output:
@@ -189,11 +189,11 @@
 	// second ended: <nil>
 }
 
-// client asks every few milliseconds until told to stop; some keep their connection, some do not. A connection that stood idle may be
+// runClient asks every few milliseconds until told to stop; some keep their connection, some do not. A connection that stood idle may be
 // closed just as it is used again: that crosses, and is asked once more on a new one.
-func client(addr string, n int, stop chan bool, asked, crossed, turnedBack *atomic.Int64) {
-	var nc net.Conn
-	var r *bufio.Reader
+func runClient(addr string, n int, stop chan bool, sent, closedWhileIdle, rejected *atomic.Int64) {
+	var conn net.Conn
+	var reader *bufio.Reader
 	fresh := false
 	for i := 0; ; i++ {
 		select {
@@ -201,32 +201,32 @@
 			return
 		case <-time.After(5 * time.Millisecond):
 		}
-		if nc == nil {
+		if conn == nil {
 			var err error
-			if nc, err = net.Dial("tcp", addr); err != nil {
-				turnedBack.Add(1)
+			if conn, err = net.Dial("tcp", addr); err != nil {
+				rejected.Add(1)
 				continue
 			}
-			r, fresh = bufio.NewReader(nc), true
+			reader, fresh = bufio.NewReader(conn), true
 		}
-		fmt.Fprintf(nc, "GET /read HTTP/1.1\r\nHost: x\r\nX-Trace-Id: %d-%d\r\nX-Qos: read\r\nX-Expires-In-Ms: 1500\r\n\r\n", n, i)
-		asked.Add(1)
-		answer, err := http.ReadResponse(r, nil)
+		fmt.Fprintf(conn, "GET /read HTTP/1.1\r\nHost: x\r\nX-Trace-Id: %d-%d\r\nX-Qos: read\r\nX-Expires-In-Ms: 1500\r\n\r\n", n, i)
+		sent.Add(1)
+		response, err := http.ReadResponse(reader, nil)
 		if err != nil {
 			if fresh {
-				turnedBack.Add(1)
+				rejected.Add(1)
 			} else {
-				crossed.Add(1)
+				closedWhileIdle.Add(1)
 			}
-			nc.Close()
-			nc = nil
+			conn.Close()
+			conn = nil
 			continue
 		}
 		fresh = false
-		io.Copy(io.Discard, answer.Body)
-		if answer.Close || n%2 == 0 && i%7 == 0 {
-			nc.Close()
-			nc = nil
+		io.Copy(io.Discard, response.Body)
+		if response.Close || n%2 == 0 && i%7 == 0 {
+			conn.Close()
+			conn = nil
 		}
 	}
 }
@@ -248,11 +248,11 @@
 	try("seven", "")
 	try("4711", "")
 	try("0", "")
-	taken, _ := net.Listen("tcp", "127.0.0.1:0")
-	defer taken.Close()
+	listener, _ := net.Listen("tcp", "127.0.0.1:0")
+	defer listener.Close()
 	try("", "nowhere")
-	at := taken.Addr().String()
-	os.WriteFile(path, []byte(`{"listen":"127.0.0.1:0","control":"`+at+`","seed":"7","settings":{"balancers":1}}`), 0o600)
+	admin := listener.Addr().String()
+	os.WriteFile(path, []byte(`{"listen":"127.0.0.1:0","control":"`+admin+`","seed":"7","settings":{"balancers":1}}`), 0o600)
 	fmt.Println(strings.Contains(fmt.Sprint(run(path, io.Discard)), "address already in use"))
 	// Output:
 	// descriptor "seven" is no number
@@ -266,30 +266,30 @@
 func Example_run_files() {
 	dir, _ := os.MkdirTemp("", "spanmux")
 	defer os.RemoveAll(dir)
-	path, door := filepath.Join(dir, "config.json"), free()
-	file := func(name, limit string) string {
-		return `{"listen":"127.0.0.1:0","control":"` + door + `","discovery":"127.0.0.1:9","seed":"7","settings":{"balancers":1,` +
+	path, admin := filepath.Join(dir, "config.json"), freeAddress()
+	configText := func(name, limit string) string {
+		return `{"listen":"127.0.0.1:0","control":"` + admin + `","discovery":"127.0.0.1:9","seed":"7","settings":{"balancers":1,` +
 			`"dcs":["a"],"myZone":"a","limits":{"mostHops":2},"profiles":[{"name":"` + name + `","effect":"idempotent",` +
 			`"serviceGoal":2000000,"hardLimit":` + limit + `,"revenue":1}]}}`
 	}
-	os.WriteFile(path, []byte(file("read", "2000000")), 0o600)
+	os.WriteFile(path, []byte(configText("read", "2000000")), 0o600)
 	ended := make(chan error)
 	go func() { ended <- run(path, io.Discard) }()
-	until := func(what string) {
-		for end := time.Now().Add(5 * time.Second); !strings.Contains(call("GET", door, "metrics"), what); time.Sleep(5 * time.Millisecond) {
+	waitFor := func(text string) {
+		for end := time.Now().Add(5 * time.Second); !strings.Contains(adminRequest("GET", admin, "metrics"), text); time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(end) {
-				fmt.Println("never", what)
+				fmt.Println("never", text)
 				return
 			}
 		}
 	}
-	until(`"sighup_applied":0`)
-	for i, text := range []string{"", file("list", "0"), file("list", "1000000"), file("list", "1000000")[:80]} {
+	waitFor(`"sighup_applied":0`)
+	for i, text := range []string{"", configText("list", "0"), configText("list", "1000000"), configText("list", "1000000")[:80]} {
 		os.WriteFile(path, []byte(text), 0o600)
 		syscall.Kill(os.Getpid(), syscall.SIGHUP)
-		until([]string{`"sighup_rejected":1`, `"sighup_rejected":2`, `"sighup_applied":1`, `"sighup_rejected":3`}[i])
+		waitFor([]string{`"sighup_rejected":1`, `"sighup_rejected":2`, `"sighup_applied":1`, `"sighup_rejected":3`}[i])
 	}
-	fmt.Println(call("GET", door, "metrics"))
+	fmt.Println(adminRequest("GET", admin, "metrics"))
 	syscall.Kill(os.Getpid(), syscall.SIGTERM)
 	fmt.Println(<-ended)
 	// Output:
@@ -300,47 +300,47 @@
 // 32 MiB go both ways through a process that may use 32 MB in all, eight at a time, to clients that read slowly. Held whole they
 // would be far over what is allowed here, which leaves room for a build that looks for races.
 func Example_long() {
-	const long = 32 << 20
+	const bodyBytes = 32 << 20
 	serve := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		n, err := io.Copy(io.Discard, r.Body)
-		if err != nil || n != long {
+		if err != nil || n != bodyBytes {
 			panic(http.ErrAbortHandler)
 		}
-		w.Header().Set("Content-Length", fmt.Sprint(long))
+		w.Header().Set("Content-Length", fmt.Sprint(bodyBytes))
 		for piece := make([]byte, 1<<20); n > 0; n -= 1 << 20 {
 			w.Write(piece)
 		}
 	})
-	addr, socket, dir := shared()
+	addr, socket, dir := sharedListener()
 	defer os.RemoveAll(dir)
-	p, _ := gateway(socket, dir, 1, listing(8, serve), free())
+	p, _ := startGateway(socket, dir, 1, startDiscovery(8, serve), freeAddress())
 	whole := make(chan bool)
 	for n := range 8 {
 		go func() {
-			nc := dial(addr)
-			defer nc.Close()
-			fmt.Fprintf(nc, "POST /write HTTP/1.1\r\nHost: x\r\nX-Trace-Id: %d\r\nX-Qos: write\r\nIdempotency-Key: k\r\n"+
-				"X-Expires-In-Ms: 2000\r\nContent-Length: %d\r\n\r\n", n, long)
-			for piece, sent := make([]byte, 1<<20), 0; sent < long; sent += len(piece) {
-				nc.Write(piece)
+			conn := dial(addr)
+			defer conn.Close()
+			fmt.Fprintf(conn, "POST /write HTTP/1.1\r\nHost: x\r\nX-Trace-Id: %d\r\nX-Qos: write\r\nIdempotency-Key: k\r\n"+
+				"X-Expires-In-Ms: 2000\r\nContent-Length: %d\r\n\r\n", n, bodyBytes)
+			for piece, sent := make([]byte, 1<<20), 0; sent < bodyBytes; sent += len(piece) {
+				conn.Write(piece)
 			}
 			time.Sleep(300 * time.Millisecond) // while the answer waits
-			answer, err := http.ReadResponse(bufio.NewReader(nc), nil)
+			response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err != nil {
 				whole <- false
 				return
 			}
-			got, err := io.Copy(io.Discard, answer.Body)
-			whole <- got == long && err == nil
+			got, err := io.Copy(io.Discard, response.Body)
+			whole <- got == bodyBytes && err == nil
 		}()
 	}
 	for range 8 {
 		fmt.Print(<-whole, " ")
 	}
 	status, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.Process.Pid))
-	_, most, _ := strings.Cut(string(status), "VmHWM:")
+	_, peak, _ := strings.Cut(string(status), "VmHWM:")
 	var kib int
-	fmt.Sscan(most, &kib)
+	fmt.Sscan(peak, &kib)
 	fmt.Println("memory far under what passed:", kib > 0 && kib < 100<<10)
 	p.Process.Signal(syscall.SIGTERM)
 	fmt.Println("ended:", p.Wait())
@@ -352,59 +352,59 @@
 // A long answer under way outlasts the process that began it: the one that takes over goes on with it, in either framing, and then with
 // its client. The first ends without waiting.
 func Example_handedOver() {
-	const long = 3 << 20
-	at := listing(1, func(w http.ResponseWriter, r *http.Request) {
-		if r.URL.RawQuery == "sized" {
-			w.Header().Set("Content-Length", fmt.Sprint(long))
+	const bodyBytes = 3 << 20
+	discovery := startDiscovery(1, func(w http.ResponseWriter, reader *http.Request) {
+		if reader.URL.RawQuery == "sized" {
+			w.Header().Set("Content-Length", fmt.Sprint(bodyBytes))
 		}
-		if r.URL.RawQuery == "short" {
+		if reader.URL.RawQuery == "short" {
 			return
 		}
-		for sent := 0; sent < long; sent += 32 << 10 { // some four seconds
+		for sent := 0; sent < bodyBytes; sent += 32 << 10 { // some four seconds
 			w.Write(bytes.Repeat([]byte{byte(sent >> 15)}, 32<<10))
 			http.NewResponseController(w).Flush()
 			time.Sleep(40 * time.Millisecond)
 		}
 	})
-	addr, socket, dir := shared()
+	addr, socket, dir := sharedListener()
 	defer os.RemoveAll(dir)
-	first, _ := gateway(socket, dir, 1, at, free())
-	got := make(chan string)
-	for i, do := range []string{"sized", "chunks"} {
+	first, _ := startGateway(socket, dir, 1, discovery, freeAddress())
+	results := make(chan string)
+	for i, query := range []string{"sized", "chunks"} {
 		go func() {
-			nc := dial(addr)
-			defer nc.Close()
-			r, said := bufio.NewReader(nc), do+":"
-			for n, do := range []string{do, "short"} {
-				fmt.Fprintf(nc, "GET /read?%s HTTP/1.1\r\nHost: x\r\nX-Trace-Id: %d-%d\r\nX-Qos: read\r\nX-Expires-In-Ms: 1500\r\n\r\n", do, i, n)
-				answer, err := http.ReadResponse(r, nil)
+			conn := dial(addr)
+			defer conn.Close()
+			reader, result := bufio.NewReader(conn), query+":"
+			for n, query := range []string{query, "short"} {
+				fmt.Fprintf(conn, "GET /read?%s HTTP/1.1\r\nHost: x\r\nX-Trace-Id: %d-%d\r\nX-Qos: read\r\nX-Expires-In-Ms: 1500\r\n\r\n", query, i, n)
+				response, err := http.ReadResponse(reader, nil)
 				if err != nil {
-					got <- said + " closed"
+					results <- result + " closed"
 					return
 				}
-				body, err := io.ReadAll(answer.Body)
-				whole := len(body) == long || n == 1
-				for at := 0; at < len(body) && whole; at++ {
-					whole = body[at] == byte(at>>15)
+				body, err := io.ReadAll(response.Body)
+				whole := len(body) == bodyBytes || n == 1
+				for discovery := 0; discovery < len(body) && whole; discovery++ {
+					whole = body[discovery] == byte(discovery>>15)
 				}
-				said += fmt.Sprint(" ", answer.StatusCode, " ", whole, " ", err)
+				result += fmt.Sprint(" ", response.StatusCode, " ", whole, " ", err)
 			}
-			got <- said
+			results <- result
 		}()
 	}
 	time.Sleep(300 * time.Millisecond)
-	second, door := gateway(socket, dir, 2, at, free())
-	told := time.Now()
+	second, admin := startGateway(socket, dir, 2, discovery, freeAddress())
+	signalled := time.Now()
 	first.Process.Signal(syscall.SIGTERM)
 	ended := first.Wait()
-	fmt.Println("first ended:", ended, "soon:", time.Since(told) < 2*time.Second)
-	said := []string{<-got, <-got}
-	slices.Sort(said)
-	fmt.Println(strings.Join(said, "\n"))
-	for end := time.Now().Add(time.Second); !strings.Contains(call("GET", door, "metrics"), `"outstanding":0`) && time.Now().Before(end); {
+	fmt.Println("first ended:", ended, "soon:", time.Since(signalled) < 2*time.Second)
+	result := []string{<-results, <-results}
+	slices.Sort(result)
+	fmt.Println(strings.Join(result, "\n"))
+	for end := time.Now().Add(time.Second); !strings.Contains(adminRequest("GET", admin, "metrics"), `"outstanding":0`) && time.Now().Before(end); {
 		time.Sleep(5 * time.Millisecond)
 	}
-	fmt.Println(call("GET", door, "metrics"))
+	fmt.Println(adminRequest("GET", admin, "metrics"))
 	second.Process.Signal(syscall.SIGTERM)
 	fmt.Println("second ended:", second.Wait())
 	// Output:
@@ -415,8 +415,8 @@
 	// second ended: <nil>
 }
 
-// listing is a discovery that lists so many hosts which do the same, and says nothing more.
-func listing(hosts int, serve http.HandlerFunc) string {
+// startDiscovery is a discovery that lists so many hosts which do the same, and says nothing more.
+func startDiscovery(hosts int, serve http.HandlerFunc) string {
 	var targets []string
 	for i := range hosts {
 		targets = append(targets, fmt.Sprintf(`{"uid":"h%d","endpoint":%q,"az":"a","state":"in_service"}`, i,
@@ -432,34 +432,34 @@
 	return strings.TrimPrefix(discovery.URL, "http://")
 }
 
-// shared is a listening socket that processes inherit, and a folder that they share.
-func shared() (addr string, socket *os.File, dir string) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+// sharedListener is a listening socket that processes inherit, and a folder that they share.
+func sharedListener() (addr string, socket *os.File, dir string) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		panic(err)
 	}
-	socket, _ = ln.(*net.TCPListener).File()
+	socket, _ = listener.(*net.TCPListener).File()
 	dir, _ = os.MkdirTemp("", "spanmux")
-	return ln.Addr().String(), socket, dir
+	return listener.Addr().String(), socket, dir
 }
 
 // Messages that come slowly are at every stage as their process is replaced: nothing heard yet, within the head, within a body that
 // is held, between chunks and within one. The process that follows hears them out, none is turned back, and the first ends without waiting
 // for them. A body that is passed on to its host as it comes is finished by the first.
 func Example_halfHeard() {
-	at := listing(8, func(w http.ResponseWriter, r *http.Request) {
+	discovery := startDiscovery(8, func(w http.ResponseWriter, r *http.Request) {
 		n, err := io.Copy(io.Discard, r.Body)
 		fmt.Fprint(w, n, " ", err)
 	})
-	addr, socket, dir := shared()
+	addr, socket, dir := sharedListener()
 	defer os.RemoveAll(dir)
-	first, _ := gateway(socket, dir, 1, at, free())
+	first, _ := startGateway(socket, dir, 1, discovery, freeAddress())
 	head := "POST /write HTTP/1.1\r\nHost: x\r\nX-Trace-Id: %d\r\nX-Qos: write\r\nIdempotency-Key: k\r\nX-Expires-In-Ms: 1500\r\n"
 	sized := func(n int) string {
 		return head + fmt.Sprintf("Content-Length: %d\r\n\r\n", n) + strings.Repeat("x", n)
 	}
 	chunks := head + "Transfer-Encoding: chunked\r\n\r\n" + "9c40\r\n" + strings.Repeat("y", 40_000) + "\r\n5\r\nabcde\r\n0\r\n\r\n"
-	cut := func(text, after string) int { return strings.Index(text, after) + len(after) }
+	endOf := func(text, after string) int { return strings.Index(text, after) + len(after) }
 	cases := []struct {
 		what, text string
 		first      int // bytes that are sent before the word to end
@@ -470,49 +470,49 @@
 		{"within a body", sized(50_000), 20_000},
 		{"within a long body", sized(900_000), 300_000},
 		{"within a chunk", chunks, 20_000},
-		{"within a chunk's length", chunks, cut(chunks, "9c")},
-		{"between chunks", chunks, cut(chunks, "yyy\r\n") - 1},
+		{"within a chunk's length", chunks, endOf(chunks, "9c")},
+		{"between chunks", chunks, endOf(chunks, "yyy\r\n") - 1},
 		{"before the last chunk's end", chunks, len(chunks) - 3},
 		{"within a body passed on", sized(3 << 20), 1 << 20},
 	}
-	said := make([]chan string, len(cases))
-	begun, goOn := make(chan bool), make(chan bool)
+	results := make([]chan string, len(cases))
+	started, resume := make(chan bool), make(chan bool)
 	for i, c := range cases {
-		said[i] = make(chan string, 1)
+		results[i] = make(chan string, 1)
 		go func() {
-			nc := dial(addr)
-			defer nc.Close()
+			conn := dial(addr)
+			defer conn.Close()
 			text, first := fmt.Sprintf(c.text, i), c.first
-			io.WriteString(nc, text[:first])
-			begun <- true
-			<-goOn
+			io.WriteString(conn, text[:first])
+			started <- true
+			<-resume
 			for text = text[first:]; len(text) > 0; text = text[min(len(text), 200_000):] {
-				io.WriteString(nc, text[:min(len(text), 200_000)])
+				io.WriteString(conn, text[:min(len(text), 200_000)])
 				time.Sleep(60 * time.Millisecond)
 			}
-			answer, err := http.ReadResponse(bufio.NewReader(nc), nil)
+			response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err != nil {
-				said[i] <- "no answer"
+				results[i] <- "no answer"
 				return
 			}
-			body, err := io.ReadAll(answer.Body)
-			said[i] <- fmt.Sprint(answer.StatusCode, " ", string(body), " ", err)
+			body, err := io.ReadAll(response.Body)
+			results[i] <- fmt.Sprint(response.StatusCode, " ", string(body), " ", err)
 		}()
 	}
 	for range cases {
-		<-begun
+		<-started
 	}
 	time.Sleep(100 * time.Millisecond) // for all of it to be read
-	second, door := gateway(socket, dir, 2, at, free())
-	told := time.Now()
+	second, admin := startGateway(socket, dir, 2, discovery, freeAddress())
+	signalled := time.Now()
 	first.Process.Signal(syscall.SIGTERM)
 	time.Sleep(200 * time.Millisecond)
-	close(goOn)
+	close(resume)
 	for i, c := range cases {
-		fmt.Println(c.what+":", <-said[i])
+		fmt.Println(c.what+":", <-results[i])
 	}
-	fmt.Println("first ended:", first.Wait(), "soon:", time.Since(told) < 2500*time.Millisecond)
-	fmt.Println(call("GET", door, "metrics")[:36])
+	fmt.Println("first ended:", first.Wait(), "soon:", time.Since(signalled) < 2500*time.Millisecond)
+	fmt.Println(adminRequest("GET", admin, "metrics")[:36])
 	second.Process.Signal(syscall.SIGTERM)
 	fmt.Println("second ended:", second.Wait())
 	// Output:
@@ -534,45 +534,45 @@
 // A process ends before it is killed, however long its settings let a transaction take, and what it has taken has an answer by then: one
 // that a host still has is abandoned, and one of whose body something is missing is rolled back, as no host ever had all of it.
 func Example_endsInTime() {
-	at := listing(8, func(w http.ResponseWriter, r *http.Request) {
+	discovery := startDiscovery(8, func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		if r.Method == "GET" {
 			<-r.Context().Done()
 		}
 	})
-	addr, socket, dir := shared()
+	addr, socket, dir := sharedListener()
 	defer os.RemoveAll(dir)
-	first, _ := gatewayWithin(nil, socket, dir, 1, at, free(), time.Minute)
-	got := make(chan string, 2)
+	first, _ := startGatewayWithLimit(nil, socket, dir, 1, discovery, freeAddress(), time.Minute)
+	statuses := make(chan string, 2)
 	for i, text := range []string{
 		"GET /read HTTP/1.1\r\nHost: x\r\nX-Trace-Id: a\r\nX-Qos: read\r\nX-Expires-In-Ms: 60000\r\n\r\n",
 		"POST /write HTTP/1.1\r\nHost: x\r\nX-Trace-Id: b\r\nX-Qos: write\r\nIdempotency-Key: k\r\nX-Expires-In-Ms: 2000\r\n" +
 			"Content-Length: 33554432\r\n\r\n",
 	} {
 		go func() {
-			nc := dial(addr)
-			defer nc.Close()
-			io.WriteString(nc, text)
+			conn := dial(addr)
+			defer conn.Close()
+			io.WriteString(conn, text)
 			go func() {
 				for err := error(nil); i == 1 && err == nil; time.Sleep(50 * time.Millisecond) {
-					_, err = nc.Write(make([]byte, 20_000))
+					_, err = conn.Write(make([]byte, 20_000))
 				}
 			}()
-			answer, err := http.ReadResponse(bufio.NewReader(nc), nil)
+			response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err != nil {
-				got <- "no answer"
+				statuses <- "no answer"
 				return
 			}
-			got <- answer.Status
+			statuses <- response.Status
 		}()
 	}
 	time.Sleep(300 * time.Millisecond)
-	told := time.Now()
+	signalled := time.Now()
 	first.Process.Signal(syscall.SIGTERM)
-	said := []string{<-got, <-got}
-	slices.Sort(said)
-	fmt.Println(strings.Join(said, ", "))
-	fmt.Println("ended:", first.Wait(), "before it is killed:", time.Since(told) < 3700*time.Millisecond)
+	results := []string{<-statuses, <-statuses}
+	slices.Sort(results)
+	fmt.Println(strings.Join(results, ", "))
+	fmt.Println("ended:", first.Wait(), "before it is killed:", time.Since(signalled) < 3700*time.Millisecond)
 	// Output:
 	// 503 Service Unavailable, 504 Gateway Timeout
 	// ended: <nil> before it is killed: true
@@ -581,92 +581,92 @@
 // Long answers stand at every stage as their process is replaced, with hosts that go on only once that process is gone, killed as its time
 // ends where it has not ended by itself: all come whole, from the process that follows.
 func Example_streamsAtEveryStage() {
-	const long = 2 << 20
-	all := make([]byte, long)
-	for i := range all {
-		all[i] = byte(i >> 12)
+	const bodyBytes = 2 << 20
+	body := make([]byte, bodyBytes)
+	for i := range body {
+		body[i] = byte(i >> 12)
 	}
-	sized, until := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", long), "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
+	sized, untilClose := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", bodyBytes), "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
 	chunks := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-	for sent := 0; sent < long; sent += 1 << 19 {
-		chunks += fmt.Sprintf("80000\r\n%s\r\n", all[sent:sent+1<<19])
+	for sent := 0; sent < bodyBytes; sent += 1 << 19 {
+		chunks += fmt.Sprintf("80000\r\n%s\r\n", body[sent:sent+1<<19])
 	}
 	chunks += "0\r\nTrailer: t\r\n\r\n"
 	stages := []struct {
 		what, text string
 		first      int // bytes that the host gives before the word to end
 	}{
-		{"no head yet", sized + string(all), 0},
-		{"within the head", sized + string(all), 20},
-		{"head only", sized + string(all), len(sized)},
-		{"middle", sized + string(all), long / 2},
-		{"last byte", sized + string(all), len(sized) + long - 1},
-		{"within a chunk", chunks, long / 2},
+		{"no head yet", sized + string(body), 0},
+		{"within the head", sized + string(body), 20},
+		{"head only", sized + string(body), len(sized)},
+		{"middle", sized + string(body), bodyBytes / 2},
+		{"last byte", sized + string(body), len(sized) + bodyBytes - 1},
+		{"within a chunk", chunks, bodyBytes / 2},
 		{"before the last chunk", chunks, len(chunks) - len("0\r\nTrailer: t\r\n\r\n")},
 		{"within the end", chunks, len(chunks) - 3},
-		{"no length, head only", until + string(all), len(until)},
-		{"no length, middle", until + string(all), long / 2},
-		{"no length, all but the end", until + string(all), len(until) + long},
+		{"no length, head only", untilClose + string(body), len(untilClose)},
+		{"no length, middle", untilClose + string(body), bodyBytes / 2},
+		{"no length, all but the end", untilClose + string(body), len(untilClose) + bodyBytes},
 	}
-	begun, goOn, gone := make(chan bool), make(chan bool), make(chan bool)
-	at := listing(8, func(w http.ResponseWriter, r *http.Request) {
+	started, resume, firstGone := make(chan bool), make(chan bool), make(chan bool)
+	discovery := startDiscovery(8, func(w http.ResponseWriter, r *http.Request) {
 		var stage int
 		fmt.Sscan(r.URL.RawQuery, &stage)
-		nc, _, err := w.(http.Hijacker).Hijack()
+		conn, _, err := w.(http.Hijacker).Hijack()
 		if err != nil {
 			panic(err)
 		}
-		defer nc.Close()
+		defer conn.Close()
 		s := stages[stage]
-		io.WriteString(nc, s.text[:s.first])
-		begun <- true
+		io.WriteString(conn, s.text[:s.first])
+		started <- true
 		if stage < 2 { // where there is no head the process that has the transaction waits for it
-			<-goOn
+			<-resume
 		} else {
-			<-gone
+			<-firstGone
 		}
-		io.WriteString(nc, s.text[s.first:])
+		io.WriteString(conn, s.text[s.first:])
 	})
-	addr, socket, dir := shared()
+	addr, socket, dir := sharedListener()
 	defer os.RemoveAll(dir)
-	first, _ := gateway(socket, dir, 1, at, free())
-	second, door := (*exec.Cmd)(nil), ""
-	said := make([]chan string, len(stages))
-	ask := func(i int) {
-		said[i] = make(chan string, 1)
+	first, _ := startGateway(socket, dir, 1, discovery, freeAddress())
+	second, admin := (*exec.Cmd)(nil), ""
+	results := make([]chan string, len(stages))
+	send := func(i int) {
+		results[i] = make(chan string, 1)
 		go func() {
-			nc := dial(addr)
-			defer nc.Close()
-			fmt.Fprintf(nc, "GET /read?%d HTTP/1.1\r\nHost: x\r\nX-Trace-Id: %d\r\nX-Qos: read\r\nX-Expires-In-Ms: 1900\r\n\r\n", i, i)
-			answer, err := http.ReadResponse(bufio.NewReader(nc), nil)
+			conn := dial(addr)
+			defer conn.Close()
+			fmt.Fprintf(conn, "GET /read?%d HTTP/1.1\r\nHost: x\r\nX-Trace-Id: %d\r\nX-Qos: read\r\nX-Expires-In-Ms: 1900\r\n\r\n", i, i)
+			response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err != nil {
-				said[i] <- fmt.Sprint("no answer: ", err)
+				results[i] <- fmt.Sprint("no answer: ", err)
 				return
 			}
-			body, err := io.ReadAll(answer.Body)
-			said[i] <- fmt.Sprint(answer.StatusCode, " whole: ", bytes.Equal(body, all), " ", err)
+			received, err := io.ReadAll(response.Body)
+			results[i] <- fmt.Sprint(response.StatusCode, " whole: ", bytes.Equal(received, body), " ", err)
 		}()
 	}
 	for i := len(stages) - 1; i >= 0; i-- { // those without a head last: their time runs
-		if ask(i); i == 2 {
+		if send(i); i == 2 {
 			for range len(stages) - 2 {
-				<-begun
+				<-started
 			}
-			second, door = gateway(socket, dir, 2, at, free())
+			second, admin = startGateway(socket, dir, 2, discovery, freeAddress())
 		}
 		if i < 2 {
-			<-begun
+			<-started
 		}
 	}
 	first.Process.Signal(syscall.SIGTERM)
-	killed := time.AfterFunc(3700*time.Millisecond, func() { first.Process.Kill() })
+	killTimer := time.AfterFunc(3700*time.Millisecond, func() { first.Process.Kill() })
 	time.Sleep(200 * time.Millisecond)
-	close(goOn)
+	close(resume)
 	first.Wait()
-	fmt.Println("killed:", !killed.Stop(), "second:", call("GET", door, "ready"))
-	close(gone)
+	fmt.Println("killed:", !killTimer.Stop(), "second:", adminRequest("GET", admin, "ready"))
+	close(firstGone)
 	for i, s := range stages {
-		fmt.Println(s.what+":", <-said[i])
+		fmt.Println(s.what+":", <-results[i])
 	}
 	second.Process.Signal(syscall.SIGTERM)
 	second.Wait()
--- a/cmd/spanmux/restart_plain_test.go
+++ b/cmd/spanmux/restart_plain_test.go
@@ -2,5 +2,5 @@
 
 package main
 
-// herd is how many processes are started at once.
-const herd = 30
+// restartedProcesses is how many processes are started at once.
+const restartedProcesses = 30
--- a/cmd/spanmux/restart_race_test.go
+++ b/cmd/spanmux/restart_race_test.go
@@ -2,6 +2,6 @@
 
 package main
 
-// herd is how many processes are started at once. One that looks for races takes ten times as long to read a list, and the cores are what thirty of them
+// restartedProcesses is how many processes are started at once. One that looks for races takes ten times as long to read a list, and the cores are what thirty of them
 // would measure.
-const herd = 8
+const restartedProcesses = 8
--- a/cmd/spanmux/restart_test.go
+++ b/cmd/spanmux/restart_test.go
@@ -14,30 +14,30 @@
 	"time"
 )
 
-// booked is a discovery that lists many hosts, takes its time for each list, and turns calls away over so many at once, as one that all
+// overloadedDiscovery is a discovery that lists many hosts, takes its time for each list, and turns calls away over so many at once, as one that all
 // gateways call in the same moment. Watches wait for as long as they are let, beside that.
-type booked struct {
-	at            string
-	server        *httptest.Server
-	text          []byte
-	places        chan bool
-	took          time.Duration
-	lists, turned atomic.Int64
+type overloadedDiscovery struct {
+	addr                string
+	server              *httptest.Server
+	list                []byte
+	slots               chan bool
+	delay               time.Duration
+	listsSent, rejected atomic.Int64
 }
 
-func overbooked(hosts, places int, took time.Duration) *booked {
+func startOverloadedDiscovery(hosts, slots int, delay time.Duration) *overloadedDiscovery {
 	var targets []string
 	for i := range hosts {
 		targets = append(targets, fmt.Sprintf(`{"uid":"s-%08x","endpoint":"127.0.%d.%d:5000","az":"a","model":"m2","pod_group":%d,"state":"in_service","capacity_hint":1.0,"boot_ms":0}`,
 			i, i>>8, i&255, i%7))
 	}
-	d := &booked{places: make(chan bool, places), took: took, text: []byte(`{"rev":1,"all":true,"targets":[` + strings.Join(targets, ",\n ") + `]}`)}
+	d := &overloadedDiscovery{slots: make(chan bool, slots), delay: delay, list: []byte(`{"rev":1,"all":true,"targets":[` + strings.Join(targets, ",\n ") + `]}`)}
 	d.server = httptest.NewServer(d)
-	d.at = strings.TrimPrefix(d.server.URL, "http://")
+	d.addr = strings.TrimPrefix(d.server.URL, "http://")
 	return d
 }
 
-func (d *booked) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (d *overloadedDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Has("index") {
 		wait, _ := time.ParseDuration(r.URL.Query().Get("wait") + "ms")
 		select {
@@ -48,28 +48,28 @@
 		return
 	}
 	select {
-	case d.places <- true:
-		defer func() { <-d.places }()
+	case d.slots <- true:
+		defer func() { <-d.slots }()
 	default:
-		d.turned.Add(1)
+		d.rejected.Add(1)
 		http.Error(w, "too many callers", http.StatusServiceUnavailable)
 		return
 	}
-	w.Header().Set("Content-Length", fmt.Sprint(len(d.text)))
+	w.Header().Set("Content-Length", fmt.Sprint(len(d.list)))
 	for n := range 4 {
-		time.Sleep(d.took / 4)
-		w.Write(d.text[n*len(d.text)/4 : (n+1)*len(d.text)/4])
+		time.Sleep(d.delay / 4)
+		w.Write(d.list[n*len(d.list)/4 : (n+1)*len(d.list)/4])
 		http.NewResponseController(w).Flush()
 	}
-	d.lists.Add(1)
+	d.listsSent.Add(1)
 }
 
 // Nine in ten of thirty processes that are started again at once take clients within ten seconds, though discovery has few places, is slow,
 // turns most calls away, and lists ten thousand hosts. Where it took two seconds for its list none was ever ready: each call was lost after 1.5 s, with
 // most of the list in hand.
 func Example_restartedAtOnce() {
-	restartAtOnce(4*herd/30, 400*time.Millisecond)
-	restartAtOnce(herd/2, 2*time.Second)
+	restartAtOnce(4*restartedProcesses/30, 400*time.Millisecond)
+	restartAtOnce(restartedProcesses/2, 2*time.Second)
 	// Output:
 	// nine in ten: true calls were turned away: true
 	// ended, all: true
@@ -77,57 +77,57 @@
 	// ended, all: true
 }
 
-func restartAtOnce(places int, each time.Duration) {
-	const gateways, hosts = herd, 10_000
-	d := overbooked(hosts, places, each)
-	defer d.server.Close()
+func restartAtOnce(slots int, listDelay time.Duration) {
+	const gateways, hosts = restartedProcesses, 10_000
+	discovery := startOverloadedDiscovery(hosts, slots, listDelay)
+	defer discovery.server.Close()
 	dir, _ := os.MkdirTemp("", "spanmux")
 	defer os.RemoveAll(dir)
 	ready := func(addr string) bool {
-		c := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-		answer, err := c.Get("http://" + addr + "/ready")
+		client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+		response, err := client.Get("http://" + addr + "/ready")
 		if err != nil {
 			return false
 		}
-		defer answer.Body.Close()
-		io.Copy(io.Discard, answer.Body)
-		return answer.StatusCode == 200
+		defer response.Body.Close()
+		io.Copy(io.Discard, response.Body)
+		return response.StatusCode == 200
 	}
 	var addrs [gateways]string
 	for i := range addrs {
-		addrs[i] = free()
+		addrs[i] = freeAddress()
 	}
-	var took [gateways]time.Duration
-	var ps [gateways]*exec.Cmd
-	var all sync.WaitGroup
+	var readyAfter [gateways]time.Duration
+	var processes [gateways]*exec.Cmd
+	var waiters sync.WaitGroup
 	began := time.Now()
 	for i := range gateways {
-		ps[i] = process(dir, i, 200, gateways, map[string]any{"listen": addrs[i], "discovery": d.at})
-		all.Add(1)
+		processes[i] = startProcess(dir, i, 200, gateways, map[string]any{"listen": addrs[i], "discovery": discovery.addr})
+		waiters.Add(1)
 		go func() {
-			defer all.Done()
-			for took[i] = time.Minute; time.Since(began) < 15*time.Second; time.Sleep(50 * time.Millisecond) {
+			defer waiters.Done()
+			for readyAfter[i] = time.Minute; time.Since(began) < 15*time.Second; time.Sleep(50 * time.Millisecond) {
 				if ready(addrs[i]) {
-					took[i] = time.Since(began)
+					readyAfter[i] = time.Since(began)
 					return
 				}
 			}
 		}()
 	}
-	all.Wait()
-	within, last := 0, time.Duration(0)
-	for _, t := range took {
+	waiters.Wait()
+	readyInTime, last := 0, time.Duration(0)
+	for _, t := range readyAfter {
 		if last = max(last, t); t <= 10*time.Second {
-			within++
+			readyInTime++
 		}
 	}
-	fmt.Fprintln(os.Stderr, "ready within 10 s:", within, "last:", last, "lists:", d.lists.Load(), "turned away:", d.turned.Load())
-	fmt.Println("nine in ten:", 10*within >= 9*gateways, "calls were turned away:", d.turned.Load() >= gateways/3)
-	for _, p := range ps {
+	fmt.Fprintln(os.Stderr, "ready within 10 s:", readyInTime, "last:", last, "lists:", discovery.listsSent.Load(), "turned away:", discovery.rejected.Load())
+	fmt.Println("nine in ten:", 10*readyInTime >= 9*gateways, "calls were turned away:", discovery.rejected.Load() >= gateways/3)
+	for _, p := range processes {
 		p.Process.Signal(syscall.SIGTERM)
 	}
 	ended := 0
-	for _, p := range ps {
+	for _, p := range processes {
 		if p.Wait() == nil {
 			ended++
 		}
--- a/cmd/spanmux/seccomp_linux_amd64_test.go
+++ b/cmd/spanmux/seccomp_linux_amd64_test.go
@@ -12,43 +12,43 @@
 	"unsafe"
 )
 
-func init() { refuse = refuseCalls }
+func init() { restrictSyscalls = installSeccompFilter }
 
-// refuseCalls has the kernel refuse this process, and only this one, what a platform may refuse a gateway: starting programs, fork,
+// installSeccompFilter has the kernel refuse this process, and only this one, what a platform may refuse a gateway: starting programs, fork,
 // io_uring, splice, sendfile, and sockets that are not of IPv4.
-func refuseCalls() {
+func installSeccompFilter() {
 	const (
-		prctlNoNewPrivs, seccompFilter, allThreads = 38, 1, 1
-		load, ifEqual, ifAny, back                 = 0x20, 0x15, 0x45, 0x06 // BPF, on words of 32 bits
-		number, first                              = 0, 16                  // where the call's number and its first argument lie
-		allow, refused                             = 0x7fff0000, 0x00050000
-		cloneThread                                = 0x10000
+		prctlNoNewPrivs, seccompSetModeFilter, seccompFlagTSync = 38, 1, 1
+		opLoad, opJumpEqual, opJumpBitsSet, opReturn            = 0x20, 0x15, 0x45, 0x06 // BPF, on words of 32 bits
+		offsetSyscallNumber, offsetFirstArgument                = 0, 16                  // where the call's number and its first argument lie
+		actionAllow, actionErrno                                = 0x7fff0000, 0x00050000
+		cloneThread                                             = 0x10000
 	)
-	type step struct {
+	type instruction struct {
 		code  uint16
 		yes   uint8
 		no    uint8
 		value uint32
 	}
-	program := []step{{load, 0, 0, number}}
+	program := []instruction{{opLoad, 0, 0, offsetSyscallNumber}}
 	for _, n := range []uint32{40, 57, 58, 59, 322, 425, 435} { // sendfile, fork, vfork, execve, execveat, io_uring_setup, clone3
-		program = append(program, step{ifEqual, 0, 1, n}, step{back, 0, 0, refused | uint32(syscall.ENOSYS)})
+		program = append(program, instruction{opJumpEqual, 0, 1, n}, instruction{opReturn, 0, 0, actionErrno | uint32(syscall.ENOSYS)})
 	}
 	program = append(program,
-		step{ifEqual, 0, 1, syscall.SYS_SPLICE}, step{back, 0, 0, refused | uint32(syscall.EINVAL)},
-		step{ifEqual, 0, 4, syscall.SYS_SOCKET}, step{load, 0, 0, first},
-		step{ifEqual, 0, 1, syscall.AF_INET}, step{back, 0, 0, allow}, step{back, 0, 0, refused | uint32(syscall.EAFNOSUPPORT)},
-		step{ifEqual, 0, 3, syscall.SYS_CLONE}, step{load, 0, 0, first},
-		step{ifAny, 1, 0, cloneThread}, step{back, 0, 0, refused | uint32(syscall.ENOSYS)},
-		step{back, 0, 0, allow})
+		instruction{opJumpEqual, 0, 1, syscall.SYS_SPLICE}, instruction{opReturn, 0, 0, actionErrno | uint32(syscall.EINVAL)},
+		instruction{opJumpEqual, 0, 4, syscall.SYS_SOCKET}, instruction{opLoad, 0, 0, offsetFirstArgument},
+		instruction{opJumpEqual, 0, 1, syscall.AF_INET}, instruction{opReturn, 0, 0, actionAllow}, instruction{opReturn, 0, 0, actionErrno | uint32(syscall.EAFNOSUPPORT)},
+		instruction{opJumpEqual, 0, 3, syscall.SYS_CLONE}, instruction{opLoad, 0, 0, offsetFirstArgument},
+		instruction{opJumpBitsSet, 1, 0, cloneThread}, instruction{opReturn, 0, 0, actionErrno | uint32(syscall.ENOSYS)},
+		instruction{opReturn, 0, 0, actionAllow})
 	filter := struct {
 		length uint16
-		steps  *step
+		steps  *instruction
 	}{uint16(len(program)), &program[0]}
 	if _, _, err := syscall.RawSyscall6(syscall.SYS_PRCTL, prctlNoNewPrivs, 1, 0, 0, 0, 0); err != 0 {
 		panic(err)
 	}
-	if _, _, err := syscall.RawSyscall(317, seccompFilter, allThreads, uintptr(unsafe.Pointer(&filter))); err != 0 { // seccomp
+	if _, _, err := syscall.RawSyscall(317, seccompSetModeFilter, seccompFlagTSync, uintptr(unsafe.Pointer(&filter))); err != 0 { // seccomp
 		panic(err)
 	}
 	if _, err := net.Listen("unix", "refused"); err == nil {
@@ -61,28 +61,28 @@
 func Example_refused() {
 	os.Setenv("SPANMUX_TEST_REFUSE", "1")
 	defer os.Unsetenv("SPANMUX_TEST_REFUSE")
-	const long = 3 << 20
-	at := listing(8, func(w http.ResponseWriter, r *http.Request) {
+	const bodyBytes = 3 << 20
+	discovery := startDiscovery(8, func(w http.ResponseWriter, r *http.Request) {
 		n, _ := io.Copy(io.Discard, r.Body)
 		w.Header().Set("X-Got", fmt.Sprint(n))
-		w.Write(make([]byte, long))
+		w.Write(make([]byte, bodyBytes))
 	})
-	addr, socket, dir := shared()
+	addr, socket, dir := sharedListener()
 	defer os.RemoveAll(dir)
 	log, _ := os.CreateTemp(dir, "log")
-	p, door := gatewayLogging(log, socket, dir, 1, at, free())
-	nc := dial(addr)
-	defer nc.Close()
-	fmt.Fprintf(nc, "POST /write HTTP/1.1\r\nHost: x\r\nX-Trace-Id: a\r\nX-Qos: write\r\nIdempotency-Key: k\r\nX-Expires-In-Ms: 2000\r\n"+
-		"Content-Length: %d\r\n\r\n", long)
-	nc.Write(make([]byte, long))
-	answer, err := http.ReadResponse(bufio.NewReader(nc), nil)
+	p, admin := startGatewayWithLog(log, socket, dir, 1, discovery, freeAddress())
+	conn := dial(addr)
+	defer conn.Close()
+	fmt.Fprintf(conn, "POST /write HTTP/1.1\r\nHost: x\r\nX-Trace-Id: a\r\nX-Qos: write\r\nIdempotency-Key: k\r\nX-Expires-In-Ms: 2000\r\n"+
+		"Content-Length: %d\r\n\r\n", bodyBytes)
+	conn.Write(make([]byte, bodyBytes))
+	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		panic(err)
 	}
-	n, err := io.Copy(io.Discard, answer.Body)
-	fmt.Println(answer.StatusCode, answer.Header.Get("X-Got"), n, err)
-	fmt.Println(call("GET", door, "ready"))
+	n, err := io.Copy(io.Discard, response.Body)
+	fmt.Println(response.StatusCode, response.Header.Get("X-Got"), n, err)
+	fmt.Println(adminRequest("GET", admin, "ready"))
 	p.Process.Signal(syscall.SIGTERM)
 	fmt.Println("ended:", p.Wait())
 	text, _ := os.ReadFile(log.Name())
