--- a/cmd/spanmux/main_test.go
+++ b/cmd/spanmux/main_test.go
@@ -66,7 +66,7 @@
 }
 
 // Settings that mix a pool of gateways with one for each client process start nothing, and the key is named.
-func Example_run_mixed() {
+func Example_run_peersNotAllowed() {
 	dir, _ := os.MkdirTemp("", "spanmux")
 	defer os.RemoveAll(dir)
 	path := filepath.Join(dir, "config.json")
--- a/cmd/spanmux/process_test.go
+++ b/cmd/spanmux/process_test.go
@@ -232,7 +232,7 @@
 }
 
 // A number that is no listening socket stops the start, and says so; so does a door that can't be opened.
-func Example_run_noSocket() {
+func Example_run_listenFails() {
 	dir, _ := os.MkdirTemp("", "spanmux")
 	defer os.RemoveAll(dir)
 	path := filepath.Join(dir, "config.json")
@@ -263,7 +263,7 @@
 }
 
 // Files that SIGHUP brings are counted as taken or turned down, and a file turned down changes nothing.
-func Example_run_files() {
+func Example_run_reload() {
 	dir, _ := os.MkdirTemp("", "spanmux")
 	defer os.RemoveAll(dir)
 	path, admin := filepath.Join(dir, "config.json"), freeAddress()
@@ -299,7 +299,7 @@
 
 // 32 MiB go both ways through a process that may use 32 MB in all, eight at a time, to clients that read slowly. Held whole they
 // would be far over what is allowed here, which leaves room for a build that looks for races.
-func Example_long() {
+func Example_largeBodies() {
 	const bodyBytes = 32 << 20
 	serve := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		n, err := io.Copy(io.Discard, r.Body)
@@ -446,7 +446,7 @@
 // Messages that come slowly are at every stage as their process is replaced: nothing heard yet, within the head, within a body that
 // is held, between chunks and within one. The process that follows hears them out, none is turned back, and the first ends without waiting
 // for them. A body that is passed on to its host as it comes is finished by the first.
-func Example_halfHeard() {
+func Example_partialRequests() {
 	discovery := startDiscovery(8, func(w http.ResponseWriter, r *http.Request) {
 		n, err := io.Copy(io.Discard, r.Body)
 		fmt.Fprint(w, n, " ", err)
--- a/cmd/spanmux/seccomp_linux_amd64_test.go
+++ b/cmd/spanmux/seccomp_linux_amd64_test.go
@@ -58,7 +58,7 @@
 
 // A gateway starts, serves and ends in order where the platform refuses it sockets in the file system, splice and sendfile: only the
 // handing over of what it can't finish is missing, and its log says so.
-func Example_refused() {
+func Example_restrictedSyscalls() {
 	os.Setenv("SPANMUX_TEST_REFUSE", "1")
 	defer os.Unsetenv("SPANMUX_TEST_REFUSE")
 	const bodyBytes = 3 << 20
