--- a/cmd/spanmux/main_test.go
+++ b/cmd/spanmux/main_test.go
@@ -73,5 +73,5 @@
 	os.WriteFile(path, []byte(`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"7","peers":["127.0.0.1:8"],`+
 		`"settings":{"balancers":30,"limits":{"secondCopies":false}}}`), 0o600)
 	fmt.Println(run(path, io.Discard))
-	// Output: settings: peers: limits.mayTell says that gateways have no way to tell each other
+	// Output: settings: peers: not allowed without limits.mayTell
 }
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -6,22 +6,23 @@
 	"slices"
 )
 
-// loadReportFields are the figures of a load report that the decisions know.
+// loadReportFields are the fields of a load report that the settings may name (report.fields).
 var loadReportFields = []string{"rif", "q", "busy", "lat_ms", "rate", "fail_rate"}
 
-// gatewayPerClient tells whether settings are of the shape in which each client process has a gateway of its own: gateways are many
-// and learn of each other by what hosts say in answers. It is told by limits.secondCopies, which that shape bars; settings
-// without the key are of the shape with a pool of gateways.
+// gatewayPerClient reports whether each client process has a gateway of its own, as opposed to a pool of gateways that all clients share.
+// There are then many gateways, which learn of each other's load only from the load reports in hosts' responses. Such deployments set
+// limits.secondCopies to false; settings without the key describe a pool.
 func (s *settings) gatewayPerClient() bool {
 	return s.Limits.SecondCopies != nil && !*s.Limits.SecondCopies
 }
 
-// loadReportChannels are the ways in which hosts report their load; settings without the key have none.
+// loadReportChannels are the values of report.via: how hosts report their load. Without the key they don't report it.
 var loadReportChannels = []string{"answers", "probe", "none", ""}
 
-// CheckSettings refuses settings that no deployment can mean, or that contradict each other, and names the key. peers are the other
-// gateways' addresses as the program is told them: one that may not tell has none. Each setting is taken by itself: pools may price
-// connections and count nines, and gateways may tell each other where second copies are barred.
+// CheckSettings rejects settings that are invalid or contradict each other, with an error that names the key. peers is the number of peer
+// addresses in the configuration file, which has to be 0 where limits.mayTell is false. Apart from that each setting is checked by itself:
+// a pool of gateways may price connections or set an availability target, and gateways may exchange peer messages where
+// limits.secondCopies is false.
 func CheckSettings(text []byte, peers int) error {
 	var s settings
 	if err := json.Unmarshal(text, &s); err != nil {
@@ -32,15 +33,15 @@
 		invalid     bool
 		key, reason string
 	}{
-		{s.GatewayCount < 1, "balancers", "there is at least this one"},
-		{s.GatewayIndex < 0 || s.GatewayIndex >= s.GatewayCount, "me", "not a number among the gateways"},
-		{unknownField >= 0, "report.fields", "a figure that is not known"},
-		{s.Limits.StreamsPerConn < 0, "limits.streamsPerConn", "below zero"},
-		{s.Prices.Connection < 0, "prices.connection", "below zero"},
-		{s.Blend.Availability < 0, "blend.availability", "below zero"},
-		{s.Blend.Availability > 0 && s.Blend.FullAtNines == nil, "blend.fullAtNines", "needed where blend.availability is given"},
-		{!s.Limits.PeerMessages && peers > 0, "peers", "limits.mayTell says that gateways have no way to tell each other"},
-		{!slices.Contains(loadReportChannels, s.Report.Via), "report.via", "a way that is not known"},
+		{s.GatewayCount < 1, "balancers", "must be at least 1"},
+		{s.GatewayIndex < 0 || s.GatewayIndex >= s.GatewayCount, "me", "not an index below balancers"},
+		{unknownField >= 0, "report.fields", "unknown field"},
+		{s.Limits.StreamsPerConn < 0, "limits.streamsPerConn", "negative"},
+		{s.Prices.Connection < 0, "prices.connection", "negative"},
+		{s.Blend.Availability < 0, "blend.availability", "negative"},
+		{s.Blend.Availability > 0 && s.Blend.FullAtNines == nil, "blend.fullAtNines", "required with blend.availability"},
+		{!s.Limits.PeerMessages && peers > 0, "peers", "not allowed without limits.mayTell"},
+		{!slices.Contains(loadReportChannels, s.Report.Via), "report.via", "unknown value"},
 	} {
 		if rule.invalid {
 			return fmt.Errorf("settings: %s: %s", rule.key, rule.reason)
--- a/internal/config/check_test.go
+++ b/internal/config/check_test.go
@@ -18,9 +18,9 @@
 		`"startError":0,"onlyDrainingBinds":true}}`
 )
 
-// Each setting is taken by itself: pools may price connections, count nines, share connections among hops and have a retry budget, and
-// gateways may tell each other, or learn by probes, where second copies are barred. The earlier check told two shapes apart by
-// limits.secondCopies and refused all of these, so that no gateway would have started at three of the operators' deployments.
+// Each setting is checked by itself: a pool of gateways may price connections, set an availability target, multiplex connections and have a
+// retry budget, and gateways may exchange peer messages, or probe hosts, where limits.secondCopies is false. An earlier check derived the
+// kind of deployment from limits.secondCopies and rejected all of these, so that no gateway would have started at three deployments.
 func ExampleCheckSettings() {
 	check := func(settings string, peers int, change ...string) {
 		text := strings.NewReplacer(change...).Replace(settings)
@@ -56,24 +56,24 @@
 	// "secondCopies":true to "secondCopies":false (4 peers): <nil>
 	// "mayTell":false to "mayTell":true (300 peers): <nil>
 	// answers to probe (0 peers): <nil>
-	//  (300 peers): settings: peers: limits.mayTell says that gateways have no way to tell each other
-	//  (3 peers): settings: peers: limits.mayTell says that gateways have no way to tell each other
-	// answers to rumour (0 peers): settings: report.via: a way that is not known
-	// ,"fullAtNines":2.0 to  (0 peers): settings: blend.fullAtNines: needed where blend.availability is given
-	// "busy" to "load" (0 peers): settings: report.fields: a figure that is not known
-	// "me":1 to "me":300 (0 peers): settings: me: not a number among the gateways
-	// "balancers":4 to "balancers":0 (4 peers): settings: balancers: there is at least this one
-	// "streamsPerConn":1 to "streamsPerConn":-1 (4 peers): settings: limits.streamsPerConn: below zero
-	// "connection":0.0 to "connection":-0.1 (4 peers): settings: prices.connection: below zero
+	//  (300 peers): settings: peers: not allowed without limits.mayTell
+	//  (3 peers): settings: peers: not allowed without limits.mayTell
+	// answers to rumour (0 peers): settings: report.via: unknown value
+	// ,"fullAtNines":2.0 to  (0 peers): settings: blend.fullAtNines: required with blend.availability
+	// "busy" to "load" (0 peers): settings: report.fields: unknown field
+	// "me":1 to "me":300 (0 peers): settings: me: not an index below balancers
+	// "balancers":4 to "balancers":0 (4 peers): settings: balancers: must be at least 1
+	// "streamsPerConn":1 to "streamsPerConn":-1 (4 peers): settings: limits.streamsPerConn: negative
+	// "connection":0.0 to "connection":-0.1 (4 peers): settings: prices.connection: negative
 }
 
-// What is not an object is refused as well.
+// Truncated settings are rejected.
 func ExampleCheckSettings_torn() {
 	fmt.Println(config.CheckSettings([]byte(poolSettings[:9]), 4))
 	// Output: settings: unexpected end of JSON input
 }
 
-// The three settings of a retry budget go together, and nines are above zero: what makes no sense is turned down by its name.
+// The three settings of a retry budget are required together, and fullAtNines is positive: the error names the key at fault.
 func ExampleParse_retryBudget() {
 	for _, rule := range []string{
 		`"spareAttempts":10,"resendRatio":0.05,"ratioSpan":5000000`, `"spareAttempts":0,"resendRatio":0,"ratioSpan":1`, ``,
@@ -92,12 +92,12 @@
 	// "spareAttempts":10,"resendRatio":0.05,"ratioSpan":5000000: <nil>
 	// "spareAttempts":0,"resendRatio":0,"ratioSpan":1: <nil>
 	// : <nil>
-	// "spareAttempts":-1,"resendRatio":0.05,"ratioSpan":5000000: settings: obligations.spareAttempts: missing or makes no sense
-	// "spareAttempts":10,"resendRatio":-0.05,"ratioSpan":5000000: settings: obligations.resendRatio: missing or makes no sense
-	// "spareAttempts":10,"resendRatio":0.05,"ratioSpan":0: settings: obligations.ratioSpan: missing or makes no sense
-	// "spareAttempts":10,"resendRatio":0.05: settings: obligations.ratioSpan: missing or makes no sense
-	// "ratioSpan":5000000: settings: obligations.spareAttempts: missing or makes no sense
-	// "spareAttempts":1e9,"resendRatio":0.05,"ratioSpan":5000000: settings: obligations.spareAttempts: missing or makes no sense
+	// "spareAttempts":-1,"resendRatio":0.05,"ratioSpan":5000000: settings: obligations.spareAttempts: missing or out of range
+	// "spareAttempts":10,"resendRatio":-0.05,"ratioSpan":5000000: settings: obligations.resendRatio: missing or out of range
+	// "spareAttempts":10,"resendRatio":0.05,"ratioSpan":0: settings: obligations.ratioSpan: missing or out of range
+	// "spareAttempts":10,"resendRatio":0.05: settings: obligations.ratioSpan: missing or out of range
+	// "ratioSpan":5000000: settings: obligations.spareAttempts: missing or out of range
+	// "spareAttempts":1e9,"resendRatio":0.05,"ratioSpan":5000000: settings: obligations.spareAttempts: missing or out of range
 	// "spareAttempts":10,"resendRatio":"5%","ratioSpan":5000000: settings: json: cannot unmarshal string into Go struct field .obligations.resendRatio of type float64
 	// "availability":0.3,"fullAtNines":0: settings: blend.fullAtNines: 0
 	// "fullAtNines":-1: settings: blend.fullAtNines: -1
--- a/internal/config/largefleet_test.go
+++ b/internal/config/largefleet_test.go
@@ -11,10 +11,10 @@
 	"spanmux/logic"
 )
 
-// largeFleetSize is how many gateways, and how many hosts, no part of the program may fall short of.
+// largeFleetSize is the number of gateways, and of hosts, that every part of the program has to support.
 const largeFleetSize = 1024
 
-// largeFleetSettings is those of a gateway among so many, with a zone for each host.
+// largeFleetSettings are the settings of one of so many gateways, with a zone for each host.
 func largeFleetSettings(gatewayIndex int) []byte {
 	zones := make([]string, largeFleetSize)
 	for i := range zones {
@@ -29,7 +29,7 @@
 	return text
 }
 
-// The settings of the first and of the last of so many gateways are sound.
+// The settings of the first and of the last of so many gateways are accepted.
 func TestCheckLargeFleet(t *testing.T) {
 	for _, gatewayIndex := range []int{0, largeFleetSize - 1} {
 		if err := config.CheckSettings(largeFleetSettings(gatewayIndex), largeFleetSize); err != nil {
@@ -48,9 +48,9 @@
 	}
 }
 
-// What is told of so many hosts, each with another number of hops there, is read as it was told, and so is a zone's number in what is
-// asked. Hops were told up to 255 only: a host with one hop of each of a thousand gateways looked like one with a quarter of that, and all
-// zones from the 256th on like one.
+// Entries for so many hosts, each with another in-flight count, are decoded as they were encoded, and so is the zone's number in a remote
+// pick request. Counts used to be encoded up to 255 only: a host with one hop in flight from each of a thousand gateways looked as if it had
+// a quarter of that, and all zones from the 256th on looked like one.
 func TestMessagesLargeFleet(t *testing.T) {
 	instance, err := config.Parse(largeFleetSettings(0), time.Second)
 	if err != nil {
@@ -68,7 +68,7 @@
 		messages := 0
 		for msg := range instance.EncodePeerMessages(sent) {
 			if messages++; len(msg) > config.MaxPeerMessageBytes {
-				t.Errorf("kind %d: a message of %d bytes", kind, len(msg))
+				t.Errorf("kind %d: message of %d bytes", kind, len(msg))
 			}
 			entries, err := instance.DecodePeerMessage(msg)
 			if err != nil {
@@ -81,7 +81,7 @@
 			for i < len(received) && received[i] == sent[i] {
 				i++
 			}
-			t.Errorf("kind %d: from host %d on something else is read than was told: %+v", kind, i, received[i])
+			t.Errorf("kind %d: first difference at entry %d: decoded as %+v", kind, i, received[i])
 		}
 		if messages != 41 {
 			t.Errorf("kind %d: %d messages", kind, messages)
@@ -89,7 +89,7 @@
 	}
 }
 
-// More hops than fit are told as the most that do.
+// An in-flight count that doesn't fit is encoded as the largest one that does.
 func TestMessagesManyHops(t *testing.T) {
 	instance, err := config.Parse(largeFleetSettings(0), time.Second)
 	if err != nil {
@@ -98,13 +98,13 @@
 	for msg := range instance.EncodePeerMessages([]logic.PeerEntry{{Kind: logic.EntryHopEnded, Host: 7, InFlight: 5000, Outcome: logic.HopNotSent}}) {
 		entries, err := instance.DecodePeerMessage(msg)
 		if err != nil || len(entries) != 1 || entries[0].InFlight != 1023 || entries[0].Outcome != logic.HopNotSent || entries[0].Kind != logic.EntryHopEnded {
-			t.Errorf("read as %+v, %v", entries, err)
+			t.Errorf("decoded as %+v, %v", entries, err)
 		}
 	}
 }
 
-// Up to 255 hops a message is what it was before more could be told, so that gateways of both builds understand each other; kinds that
-// there are none of are refused as before.
+// Counts up to 255 are encoded as they were before larger ones could be, so that gateways of both builds understand each other. Messages with
+// unknown kinds are still rejected.
 func TestMessagesOfEarlierBuild(t *testing.T) {
 	instance, err := config.Parse(largeFleetSettings(0), time.Second)
 	if err != nil {
@@ -112,13 +112,13 @@
 	}
 	for msg := range instance.EncodePeerMessages([]logic.PeerEntry{{Kind: logic.EntryHopEnded, Host: 0x04030201, InFlight: 255, Outcome: logic.HopNotSent, Latency: time.Second}}) {
 		if text := fmt.Sprintf("%x", msg); text[:12] != "01020304ff27" || text[16:] != "1027" {
-			t.Errorf("written as %s", text)
+			t.Errorf("encoded as %s", text)
 		}
 	}
 	for kind := logic.EntryPickResponse + 1; kind < 8; kind++ {
 		for _, highHopBits := range []byte{0, 0x88} {
 			if entries, err := instance.DecodePeerMessage([]byte{1, 0, 0, 0, 1, byte(kind)<<4 | highHopBits, 0, 0, 0, 0}); err == nil {
-				t.Errorf("kind %d is read as %+v", kind, entries)
+				t.Errorf("kind %d is decoded as %+v", kind, entries)
 			}
 		}
 	}
--- a/internal/config/peermessage.go
+++ b/internal/config/peermessage.go
@@ -12,14 +12,19 @@
 )
 
 const (
-	peerEntryBytes      = 10  // a host's id, hops, what is told and an end, a profile, a time
-	MaxPeerMessageBytes = 256 // what one message may hold
-	latencyUnit         = 100 * time.Microsecond
-	maxEntryInFlight    = 1<<10 - 1 // at one host: of a thousand gateways each may have one out there
+	// peerEntryBytes is the encoded size of one entry: host (4), in-flight count, kind and outcome (2), profile hash (2), latency (2).
+	peerEntryBytes = 10
+	// MaxPeerMessageBytes is the size limit of one peer message, which is one datagram.
+	MaxPeerMessageBytes = 256
+	// latencyUnit is the unit in which latencies are encoded.
+	latencyUnit = 100 * time.Microsecond
+	// maxEntryInFlight is the largest in-flight count that ten bits hold: each of a thousand gateways may have a hop in flight at one host.
+	maxEntryInFlight = 1<<10 - 1
 )
 
-// EncodePeerMessages is what a gateway tells another, in as many messages as it needs. Profiles are named by a checksum of their names:
-// gateways are told new settings one after the other, and a place may mean another profile at each.
+// EncodePeerMessages encodes entries for another gateway, split into as many messages as they need. A profile is identified by a hash of
+// its name and not by its index: gateways get new settings one after the other, and until all have them an index may mean another profile
+// at each.
 func (in *Instance) EncodePeerMessages(entries []logic.PeerEntry) iter.Seq[[]byte] {
 	return func(yield func([]byte) bool) {
 		for batch := range slices.Chunk(entries, MaxPeerMessageBytes/peerEntryBytes) {
@@ -30,8 +35,8 @@
 	}
 }
 
-// encodePeerMessage writes one message. The sixth byte of an entry holds the kind and the end in three bits each; the two bits left over are the
-// high ones of the hops, which were always 0 while hops were told up to 255 only.
+// encodePeerMessage encodes one message. The sixth byte of an entry holds the kind and the outcome in three bits each. Its other two bits are
+// the high bits of the in-flight count; builds that encoded counts up to 255 only left them 0.
 func (in *Instance) encodePeerMessage(entries []logic.PeerEntry) []byte {
 	msg := make([]byte, 0, MaxPeerMessageBytes)
 	for _, entry := range entries {
@@ -48,12 +53,13 @@
 	return msg
 }
 
+// hashProfileName is what identifies a profile in peer messages.
 func hashProfileName(name string) uint16 { return uint16(crc32.ChecksumIEEE([]byte(name))) }
 
-// DecodePeerMessage reads a message. What it says of a profile that is not known here is left out.
+// DecodePeerMessage decodes a message of another gateway. Entries for a profile that this gateway does not know are skipped.
 func (in *Instance) DecodePeerMessage(msg []byte) ([]logic.PeerEntry, error) {
 	if len(msg)%peerEntryBytes != 0 {
-		return nil, fmt.Errorf("%d bytes are no whole number of hosts", len(msg))
+		return nil, fmt.Errorf("message of %d bytes is not a whole number of entries", len(msg))
 	}
 	entries := make([]logic.PeerEntry, 0, len(msg)/peerEntryBytes)
 	for ; len(msg) > 0; msg = msg[peerEntryBytes:] {
@@ -61,7 +67,7 @@
 			Kind: logic.PeerEntryKind(msg[5] >> 4 & 7), Outcome: logic.HopOutcome(msg[5] & 7),
 			Latency: time.Duration(binary.LittleEndian.Uint16(msg[8:])) * latencyUnit}
 		if entry.Kind > logic.EntryPickResponse || entry.Outcome > logic.HopNotSent {
-			return nil, fmt.Errorf("unknown kind %d or end %d", entry.Kind, entry.Outcome)
+			return nil, fmt.Errorf("unknown kind %d or outcome %d", entry.Kind, entry.Outcome)
 		}
 		if entry.Kind != logic.EntryInFlight {
 			known := false
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -1,5 +1,5 @@
-// Package given reads what both programs are given in the same form: the settings at the start, and what other
-// gateways tell.
+// Package config parses and checks the settings of a gateway, and encodes and decodes the messages that gateways send each other. The
+// gateway program and the simulator's adapter share both formats.
 package config
 
 import (
@@ -11,7 +11,7 @@
 	"spanmux/logic"
 )
 
-// settings is the settings object with which a gateway starts; what it holds beyond this is disregarded.
+// settings is the JSON object with a gateway's settings; other keys are ignored.
 type settings struct {
 	GatewayCount int      `json:"balancers"`
 	GatewayIndex int      `json:"me"`
@@ -81,44 +81,46 @@
 	} `json:"specifics"`
 }
 
+// effectsByName has the values of a profile's effect.
 var effectsByName = map[string]logic.Effect{
 	"idempotent": logic.Idempotent, "deduplicated": logic.Journalled, "at_most_once": logic.NonIdempotent,
 }
 
-// capacityHintsByName is what a list's figure for a host stands for; where the settings say nothing of it, nothing is read from it.
+// capacityHintsByName has the values of weights: what the capacity hints in the host list mean. Without the key the hints are ignored.
 var capacityHintsByName = map[string]logic.CapacityHintKind{"nominal": logic.NominalCapacity, "rough": logic.NominalCapacity, "live": logic.LiveCapacity}
 
+// dedupScopesByName has the values of a profile's group: which hosts share the record of deduplicated requests.
 var dedupScopesByName = map[string]logic.DedupScope{"all": logic.DedupAllHosts, "zone": logic.DedupSameZone, "cell": logic.DedupSameCell}
 
+// microseconds converts a duration setting, which is in microseconds.
 func microseconds(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 
-// Instance is a gateway's decisions with what a protocol must know to call them. Profiles and Tenants hold the
-// places by which the module knows them; retune.go says how these change.
+// Instance is the decision core of one gateway, with the settings that the code around the core needs to call it.
 type Instance struct {
 	logic.Core
-	GatewayCount, GatewayIndex    int // how many there are, and which this one is
-	KeyAffinity                   bool
-	ProfileIndexes, TenantIndexes map[string]int
-	MaxHardLimit                  time.Duration // the longest hard limit
-	IdleConnTimeout               time.Duration // after which hosts close an idle connection
-	ConnectTimeout                time.Duration // a connection not up by then is given up
-	HostListPushed                bool          // changes of the list come by themselves, and count as told whether or not they are heard
-	DrainGrace                    time.Duration // for what is sent to a host that drains or is gone
-	listPollInterval              time.Duration
+	GatewayCount, GatewayIndex    int            // how many gateways there are, and the index of this one
+	KeyAffinity                   bool           // hosts keep recently used objects warm, so the core gets the object's hash
+	ProfileIndexes, TenantIndexes map[string]int // by name, of those in force: the indexes by which the core knows them
+	MaxHardLimit                  time.Duration  // the longest hard limit of any profile in force
+	IdleConnTimeout               time.Duration  // after which hosts close an idle connection
+	ConnectTimeout                time.Duration  // for establishing a connection to a host
+	HostListPushed                bool           // list changes come unasked, and count as known from then on whether or not they were received
+	DrainGrace                    time.Duration  // after a host drains or leaves, in which hops that reach it are not a fault
+	listPollInterval              time.Duration  // the argument of Parse
 	topology                      logic.Topology
-	gatewayPerClient              bool // of the shape with a gateway for each client process
-	knownProfiles                 []logic.Profile
-	servedUntil                   []time.Duration // by place, of those not in force: until when what comes for them is served
-	profileIndexByHash            map[uint16]int  // profiles as gateways name them to each other
+	gatewayPerClient              bool            // see settings.gatewayPerClient
+	knownProfiles                 []logic.Profile // by index: all that were in force since the start
+	servedUntil                   []time.Duration // by index: until when a removed profile is still served, 0 for one in force
+	profileIndexByHash            map[uint16]int  // by the hash that identifies a profile in peer messages
 	newCore                       func(executor logic.Executor, now time.Duration, seed uint64, predecessorActiveUntil time.Duration) logic.Core
 }
 
-// Start starts the decisions; until beside the process that these replace may still be at work.
+// Start creates the decision core. Until predecessorActiveUntil the process that this one replaces may still be sending hops.
 func (in *Instance) Start(executor logic.Executor, now time.Duration, seed uint64, predecessorActiveUntil time.Duration) {
 	in.Core = in.newCore(executor, now, seed, predecessorActiveUntil)
 }
 
-// reloadableSettings is what settings say that may change while a gateway is at work.
+// reloadableSettings are the settings that may change while the gateway runs.
 type reloadableSettings struct {
 	profiles       []logic.Profile
 	maxHardLimit   time.Duration
@@ -132,7 +134,8 @@
 	costs          logic.CostModel
 }
 
-// retryBudget reads the three settings of the budget, which go together: one alone was more likely lost on the way than meant.
+// retryBudget parses the three settings of the retry budget. They are given together or not at all: if one is missing it was more likely
+// lost than left out on purpose.
 func (s *settings) retryBudget() (logic.RetryBudget, error) {
 	obligations := s.Obligations
 	if obligations.BaseRetries == nil && obligations.RetriesPerTransaction == nil && obligations.RetryWindow == nil {
@@ -143,16 +146,19 @@
 		invalid bool
 	}{
 		{"spareAttempts", obligations.BaseRetries == nil || *obligations.BaseRetries < 0 || *obligations.BaseRetries > maxHopsPerTransaction},
-		{"resendRatio", obligations.RetriesPerTransaction == nil || *obligations.RetriesPerTransaction < 0 || *obligations.RetriesPerTransaction > maxHopsPerTransaction},
+		{"resendRatio", obligations.RetriesPerTransaction == nil || *obligations.RetriesPerTransaction < 0 ||
+			*obligations.RetriesPerTransaction > maxHopsPerTransaction},
 		{"ratioSpan", obligations.RetryWindow == nil || *obligations.RetryWindow <= 0 || *obligations.RetryWindow > maxDurationSetting.Microseconds()},
 	} {
 		if setting.invalid {
-			return logic.RetryBudget{}, fmt.Errorf("settings: obligations.%s: missing or makes no sense", setting.key)
+			return logic.RetryBudget{}, fmt.Errorf("settings: obligations.%s: missing or out of range", setting.key)
 		}
 	}
-	return logic.RetryBudget{BaseRetries: *obligations.BaseRetries, RetriesPerTransaction: *obligations.RetriesPerTransaction, Window: microseconds(*obligations.RetryWindow)}, nil
+	return logic.RetryBudget{BaseRetries: *obligations.BaseRetries, RetriesPerTransaction: *obligations.RetriesPerTransaction,
+		Window: microseconds(*obligations.RetryWindow)}, nil
 }
 
+// reloadable checks and converts the settings that may change while the gateway runs; see Parse for listPollInterval.
 func (s *settings) reloadable(listPollInterval time.Duration) (result reloadableSettings, err error) {
 	for _, profile := range s.Profiles {
 		effect, ok := effectsByName[profile.Effect]
@@ -164,7 +170,8 @@
 			return result, fmt.Errorf("settings: profile %s: unknown group %q", profile.Name, profile.DedupScope)
 		}
 		result.maxHardLimit = max(result.maxHardLimit, microseconds(profile.HardLimit))
-		result.profiles = append(result.profiles, logic.Profile{Name: profile.Name, Effect: effect, DedupScope: scope, DedupWindow: microseconds(profile.DedupWindow),
+		result.profiles = append(result.profiles, logic.Profile{Name: profile.Name, Effect: effect, DedupScope: scope,
+			DedupWindow: microseconds(profile.DedupWindow),
 			ServiceGoal: microseconds(profile.ServiceGoal), Revenue: profile.Revenue, LateRevenueFraction: profile.LateRevenue})
 	}
 	for _, tenant := range s.Tenants {
@@ -184,7 +191,8 @@
 	}
 	result.costs.CrossZoneHop, result.costs.RevenueByWork = s.Prices.CrossZone, s.RevenueBy == "work"
 	result.costs.OpenConnections, result.costs.MissedGoals = s.Prices.Connection > 0, s.Blend.Tail > 0
-	result.coldHosts = logic.ColdHostRule{InitialCapacityFraction: s.Obligations.InitialCapacityFraction, WarmUpDuration: microseconds(s.Obligations.WarmUp),
+	result.coldHosts = logic.ColdHostRule{InitialCapacityFraction: s.Obligations.InitialCapacityFraction,
+		WarmUpDuration:   microseconds(s.Obligations.WarmUp),
 		OverloadMultiple: s.Obligations.OverloadMultiple, OverloadDuration: microseconds(s.Obligations.OverloadDuration)}
 	closeOnDrainTimeout := time.Duration(0)
 	for _, setting := range []struct {
@@ -201,8 +209,10 @@
 		}
 		*setting.target = microseconds(setting.value)
 	}
-	// On sockets, where ask is given, a host's address goes with the list, and nothing could be sent to one that is merely gone.
-	result.drain = logic.DrainRule{CloseIdleConnections: closeOnDrainTimeout > 0, AllowGoneHosts: s.Obligations.OnlyDrainingBinds && listPollInterval == 0}
+	// With real connections, where listPollInterval is set, the address of a host that has left the list is not known any more, so that
+	// nothing could be sent to it.
+	result.drain = logic.DrainRule{CloseIdleConnections: closeOnDrainTimeout > 0,
+		AllowGoneHosts: s.Obligations.OnlyDrainingBinds && listPollInterval == 0}
 	if maxResponses := s.Limits.MaxBufferedResponses; maxResponses != nil {
 		if result.hops.MaxBufferedResponses = *maxResponses; result.hops.MaxBufferedResponses < 1 {
 			return result, fmt.Errorf("settings: limits.responseRoom: %d", result.hops.MaxBufferedResponses)
@@ -223,8 +233,9 @@
 	return result, nil
 }
 
-// Parse reads the settings in text. Where these say that changes of the list come by themselves, ask is how long a
-// gateway may go without asking all the same: on sockets somebody must ask, or no change would ever come.
+// Parse parses the settings in text. Where these say that changes of the host list are pushed, listPollInterval is how long the gateway may
+// go without requesting the list all the same: over HTTP some call has to be open, or no change would ever arrive. It is 0 where changes
+// do come by themselves, as in the simulator.
 func Parse(text []byte, listPollInterval time.Duration) (*Instance, error) {
 	var s settings
 	if err := json.Unmarshal(text, &s); err != nil {
@@ -234,14 +245,16 @@
 	if err != nil {
 		return nil, err
 	}
-	instance := &Instance{GatewayCount: s.GatewayCount, GatewayIndex: s.GatewayIndex, KeyAffinity: s.Specifics.KeyAffinity, listPollInterval: listPollInterval, gatewayPerClient: s.gatewayPerClient(),
+	instance := &Instance{GatewayCount: s.GatewayCount, GatewayIndex: s.GatewayIndex, KeyAffinity: s.Specifics.KeyAffinity,
+		listPollInterval: listPollInterval, gatewayPerClient: s.gatewayPerClient(),
 		IdleConnTimeout: microseconds(s.Limits.IdleConnTimeout), ConnectTimeout: microseconds(s.Limits.ConnectTimeout),
 		topology: logic.Topology{GatewayCount: s.GatewayCount, GatewayIndex: s.GatewayIndex, Zone: s.MyZone, Zones: s.Zones}}
 	instance.activate(0, &reloadable)
 	instance.newCore = func(executor logic.Executor, now time.Duration, seed uint64, predecessorActiveUntil time.Duration) logic.Core {
 		coldHosts := reloadable.coldHosts
 		coldHosts.PredecessorActiveUntil = predecessorActiveUntil
-		return logic.New(executor, now, seed, instance.topology, instance.knownProfiles, reloadable.tenants, coldHosts, reloadable.drain, reloadable.hops, reloadable.sources, reloadable.costs)
+		return logic.New(executor, now, seed, instance.topology, instance.knownProfiles, reloadable.tenants, coldHosts,
+			reloadable.drain, reloadable.hops, reloadable.sources, reloadable.costs)
 	}
 	return instance, nil
 }
--- a/internal/config/update.go
+++ b/internal/config/update.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	removedProfileTTL     = 1500 * time.Millisecond // for which what was in force is served: clients hear of a change late
-	maxKnownProfiles      = 256                     // profiles that one process may have known, each by effect: far over any use
-	maxDurationSetting    = time.Hour               // of a hard limit or service goal: a longer one has its units wrong
-	maxHopsPerTransaction = 1000                    // of one transaction, ditto
-	maxAvailabilityNines  = 20                      // tenfold steps: no share is that small
+	removedProfileTTL     = 1500 * time.Millisecond // for which a removed profile is still served: clients learn of a change late
+	maxKnownProfiles      = 256                     // since the start, counted by name and effect: far more than any deployment uses
+	maxDurationSetting    = time.Hour               // a longer one is a mistake in the unit
+	maxHopsPerTransaction = 1000                    // more is a mistake
+	maxAvailabilityNines  = 20                      // 10 to the power of -20: no share of requests is that small
 )
 
-// SettingsUpdate is settings that were checked whole and are not in force yet.
+// SettingsUpdate holds new settings that were checked as a whole and are not in force yet.
 type SettingsUpdate struct{ settings reloadableSettings }
 
-// CheckComplete tells whether a text holds every key of the one in force, those left out by name aside. What is missing was more likely
-// lost on the way than meant.
+// CheckComplete returns an error if the next configuration lacks a key that the current one has, except for the optional top-level keys.
+// A missing key was more likely lost than removed on purpose.
 func CheckComplete(current, next []byte, optional ...string) error {
 	var currentValue, nextValue any
 	if err := json.Unmarshal(next, &nextValue); err != nil {
@@ -40,12 +40,13 @@
 	return checkKeys("", currentValue, nextValue)
 }
 
+// checkKeys compares two JSON values at a path, as CheckComplete does.
 func checkKeys(path string, current, next any) error {
 	switch current := current.(type) {
 	case map[string]any:
 		object, ok := next.(map[string]any)
 		if !ok {
-			return fmt.Errorf("%s: no object", path)
+			return fmt.Errorf("%s: not an object", path)
 		}
 		for _, key := range slices.Sorted(maps.Keys(current)) {
 			value, present := object[key]
@@ -59,7 +60,7 @@
 	case []any:
 		list, ok := next.([]any)
 		if !ok {
-			return fmt.Errorf("%s: no list", path)
+			return fmt.Errorf("%s: not a list", path)
 		}
 		for i, element := range list {
 			if keys := commonKeys(current); keys != nil {
@@ -72,7 +73,7 @@
 	return nil
 }
 
-// commonKeys is the keys that all objects of a list have, nil where it holds none.
+// commonKeys returns the keys that all objects of a list have, each with the value nil, or nil if the list is empty or not all are objects.
 func commonKeys(list []any) any {
 	var keys map[string]any
 	for _, element := range list {
@@ -82,11 +83,11 @@
 		}
 		if keys == nil {
 			keys = map[string]any{}
-			for key := range object { // in any order: it is a set
+			for key := range object {
 				keys[key] = nil
 			}
 		}
-		for key := range keys { // ditto
+		for key := range keys {
 			if _, present := object[key]; !present {
 				delete(keys, key)
 			}
@@ -98,7 +99,7 @@
 	return keys
 }
 
-// CheckAddress checks an address to call.
+// CheckAddress returns an error that names the key if addr is not a host and port to connect to.
 func CheckAddress(key, addr string) error {
 	_, port, err := net.SplitHostPort(addr)
 	if err == nil && port == "" {
@@ -110,7 +111,7 @@
 	return nil
 }
 
-// ParseUpdate reads settings that are to follow those in force, and checks them whole; it changes nothing.
+// ParseUpdate parses and checks new settings for a running gateway. It changes nothing; ApplyUpdate does.
 func (in *Instance) ParseUpdate(text []byte, peers int) (*SettingsUpdate, error) {
 	if err := CheckSettings(text, peers); err != nil {
 		return nil, err
@@ -128,7 +129,7 @@
 		{!slices.Equal(next.Zones, topology.Zones), "dcs"}, {next.gatewayPerClient() != in.gatewayPerClient, "limits.secondCopies"},
 	} {
 		if rule.invalid {
-			return nil, fmt.Errorf("settings: %s: changes only with a restart", rule.key)
+			return nil, fmt.Errorf("settings: %s: cannot change without a restart", rule.key)
 		}
 	}
 	if len(next.Profiles) == 0 {
@@ -158,22 +159,22 @@
 		return nil, err
 	}
 	if len(in.knownProfiles)+len(reloadable.profiles) > maxKnownProfiles {
-		return nil, fmt.Errorf("settings: profiles: %d known since the start: restart", len(in.knownProfiles))
+		return nil, fmt.Errorf("settings: profiles: too many, with %d known since the start: needs a restart", len(in.knownProfiles))
 	}
 	return &SettingsUpdate{reloadable}, nil
 }
 
-// ApplyUpdate takes settings into force.
+// ApplyUpdate puts new settings into force.
 func (in *Instance) ApplyUpdate(now time.Duration, update *SettingsUpdate) {
 	next := &update.settings
 	in.activate(now, next)
 	in.Core.Reconfigure(now, in.knownProfiles, next.tenants, next.coldHosts, next.drain, next.hops, next.sources, next.costs)
 }
 
-// activate gives places to profiles. One never comes to mean another name or effect: open transactions, and what was learnt, go by
-// it.
+// activate assigns indexes to the profiles and tenants of new settings. A profile keeps its index for as long as the process runs, and an
+// index never comes to stand for another name or effect: open transactions and learned values refer to it.
 func (in *Instance) activate(now time.Duration, next *reloadableSettings) {
-	profiles := slices.Clone(in.knownProfiles) // what is open goes by the one before
+	profiles := slices.Clone(in.knownProfiles) // open transactions keep using the previous slice
 	servedUntil := slices.Clone(in.servedUntil)
 	for i := range profiles {
 		if servedUntil[i] == 0 {
@@ -183,7 +184,7 @@
 	}
 	in.ProfileIndexes, in.TenantIndexes, in.profileIndexByHash, in.MaxHardLimit = map[string]int{}, map[string]int{}, map[uint16]int{}, next.maxHardLimit
 	in.HostListPushed, in.DrainGrace = next.hostListPushed, next.drainGrace
-	for i, profile := range profiles { // those in force win
+	for i, profile := range profiles { // profiles in force override these below
 		in.profileIndexByHash[hashProfileName(profile.Name)] = i
 	}
 	for _, profile := range next.profiles {
@@ -201,8 +202,8 @@
 	in.knownProfiles, in.servedUntil = profiles, servedUntil
 }
 
-// FindProfile is a profile's for what comes with an effect, -1 where the profile has another; known tells whether there is one of
-// that name. What was in force a moment ago is.
+// FindProfile returns the index of the profile with a name and effect, -1 if there is none; known reports whether there is a profile of that
+// name at all. Profiles removed less than removedProfileTTL ago still count.
 func (in *Instance) FindProfile(now time.Duration, name string, effect logic.Effect) (index int, known bool) {
 	for i := range in.knownProfiles {
 		if (in.servedUntil[i] == 0 || now < in.servedUntil[i]) && in.knownProfiles[i].Name == name {
--- a/internal/config/update_test.go
+++ b/internal/config/update_test.go
@@ -14,13 +14,13 @@
 	`{"name":"read","effect":"idempotent","serviceGoal":200000,"hardLimit":400000,"revenue":1},` +
 	`{"name":"pay","effect":"at_most_once","serviceGoal":200000,"hardLimit":400000,"revenue":1,"note":""}]}}`
 
-// settingsOf is that part of a file.
+// settingsOf returns the settings object of a configuration file.
 func settingsOf(file string) []byte {
 	_, text, _ := strings.Cut(file, `"settings":`)
 	return []byte(strings.TrimSuffix(text, "}"))
 }
 
-// A file is taken whole or not at all: a broken one is turned down by the key that is at fault.
+// An invalid configuration file is rejected as a whole, with an error that names the key at fault.
 func ExampleInstance_ParseUpdate() {
 	instance, err := config.Parse(settingsOf(currentFile), 0)
 	if err != nil {
@@ -53,7 +53,7 @@
 	// "name":"pay" -> "name":"buy": <nil>
 	// all -> : unexpected end of JSON input
 	// all -> {}: .discovery: missing
-	// all -> []: : no object
+	// all -> []: : not an object
 	// ]}} -> ]}: unexpected end of JSON input
 	// "discovery":"127.0.0.1:1", -> : .discovery: missing
 	// "revenue":1}, -> "revenue":1: invalid character '{' after object key:value pair
@@ -75,11 +75,11 @@
 	// "effect":"idempotent" -> "effect":"deduplicated": settings: profile read: unknown group ""
 	// "name":"pay" -> "name":"read": settings: profile "read": name
 	// "revenue":1 -> "revenue":-1: settings: profile "read": revenue
-	// "me":0 -> "me":1: settings: me: changes only with a restart
+	// "me":0 -> "me":1: settings: me: cannot change without a restart
 	// "profiles":[ -> "profiles":[],"was":[: settings: profiles: none
 }
 
-// What older settings leave out means as before; a wrong value is turned down by its key.
+// Settings that older files leave out are optional; an invalid value is rejected with an error that names its key.
 func ExampleParse() {
 	for _, key := range []string{"obligations.closeOnDrainWithin", "obligations.budgetError", "obligations.startError",
 		"obligations.onlyDrainingBinds", "limits.responseRoom"} {
@@ -112,7 +112,7 @@
 	// "2" -> settings: json: cannot unmarshal string into Go struct field .limits.responseRoom of type int
 }
 
-// Gateways that know profiles by other places, as one has been told to drop and add some, do not misread each other.
+// Gateways with other profile indexes understand each other: here one of them has had profiles removed and added.
 func ExampleInstance_DecodePeerMessage() {
 	sender, _ := config.Parse(settingsOf(currentFile), 0)
 	receiver, _ := config.Parse(settingsOf(strings.Replace(currentFile, `"name":"read"`, `"name":"list"`, 1)), 0)
@@ -123,12 +123,12 @@
 	for _, entry := range []logic.PeerEntry{{Kind: logic.EntryInFlight, Host: 5, InFlight: 3}, {Kind: logic.EntryPickRequest, Profile: 0}, {Kind: logic.EntryHopEnded, Host: 7, Profile: 1}} {
 		for msg := range sender.EncodePeerMessages([]logic.PeerEntry{entry}) {
 			entries, err := receiver.DecodePeerMessage(msg)
-			fmt.Println(entry.Kind, "place", entry.Profile, "->", entries[0].Kind, "place", entries[0].Profile, entries[0].Host, entries[0].InFlight, err)
+			fmt.Println(entry.Kind, "index", entry.Profile, "->", entries[0].Kind, "index", entries[0].Profile, entries[0].Host, entries[0].InFlight, err)
 		}
 	}
 	for msg := range receiver.EncodePeerMessages([]logic.PeerEntry{{Kind: logic.EntryPickRequest, Profile: 0}, {Kind: logic.EntryInFlight, Host: 5}}) {
 		entries, err := sender.DecodePeerMessage(msg)
-		fmt.Println("one that is not known here is left out:", len(entries), err)
+		fmt.Println("entries left without that of an unknown profile:", len(entries), err)
 	}
 	find := func(now time.Duration, name string, effect logic.Effect) {
 		fmt.Print(name, " ", effect, ": ")
@@ -139,17 +139,17 @@
 	find(3*time.Second, "read", logic.Idempotent)
 	find(3*time.Second, "read", logic.Journalled)
 	// Output:
-	// 0 place 0 -> 0 place 0 5 3 <nil>
-	// 3 place 0 -> 3 place 2 0 0 <nil>
-	// 2 place 1 -> 2 place 1 7 0 <nil>
-	// one that is not known here is left out: 1 <nil>
+	// 0 index 0 -> 0 index 0 5 3 <nil>
+	// 3 index 0 -> 3 index 2 0 0 <nil>
+	// 2 index 1 -> 2 index 1 7 0 <nil>
+	// entries left without that of an unknown profile: 1 <nil>
 	// list 0: 0 true
 	// list 0: -1 false
 	// read 0: 2 true
 	// read 1: -1 true
 }
 
-// stubCore decides nothing.
+// stubCore is a decision core that ignores new settings.
 type stubCore struct{ logic.Core }
 
 func (stubCore) Reconfigure(time.Duration, []logic.Profile, []logic.Tenant, logic.ColdHostRule, logic.DrainRule, logic.HopRule, logic.InformationSources, logic.CostModel) {
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,4 +1,5 @@
-// Package must holds what has to be true. Builds with the tag debug stop where it is not; others count it.
+// Package invariant checks conditions that hold unless the program has a bug. Builds with the tag debug panic when one is violated; other
+// builds log and count it.
 package invariant
 
 import (
@@ -6,18 +7,18 @@
 	"sync/atomic"
 )
 
-// Violations counts what did not hold.
+// Violations counts the failed checks of this process.
 var Violations atomic.Int64
 
-// Check takes note if something that must hold does not.
+// Check panics (with the build tag debug) or counts and logs a violation if ok is false. The description says what should have held.
 func Check(ok bool, description string) {
 	if ok {
 		return
 	}
 	if panicOnViolation {
-		panic("must hold: " + description)
+		panic("invariant violated: " + description)
 	}
-	if Violations.Add(1) <= 100 { // enough to find the cause, too few to fill a disk
-		slog.Error("must hold", "what", description)
+	if Violations.Add(1) <= 100 { // enough log lines to find the cause, too few to fill a disk
+		slog.Error("invariant violated", "what", description)
 	}
 }
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -84,6 +84,6 @@
 	// error: line 4: peers_known: entry "m 17 a box 0 7 1 -": unknown state 7
 	// error: line 3: whisper: message: encoding/hex: invalid byte: U+007A 'z'
 	// error: line 3: whisper: no gateway 2
-	// error: line 3: whisper: message: unknown kind 7 or end 7
+	// error: line 3: whisper: message: unknown kind 7 or outcome 7
 	// error: line 2: the input ends within a batch
 }
