--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,4 +1,4 @@
-// Command adapter lets the decisions of spanmux be played on the simulator's wire.
+// Command adapter runs the decision core of spanmux in the simulator: it reads events on standard input and writes actions to standard output.
 package main
 
 import (
@@ -10,7 +10,7 @@
 )
 
 func main() {
-	// A heap this small is collected far too often by default; one deployment counts each microsecond.
+	// The default would collect a heap this small far too often, and in one deployment each microsecond counts.
 	debug.SetGCPercent(800)
 	if err := simwire.Serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "adapter:", err)
--- a/internal/simwire/actions.go
+++ b/internal/simwire/actions.go
@@ -11,13 +11,14 @@
 	"spanmux/logic"
 )
 
-// actionWriter writes what one instance wants done.
+// actionWriter writes the actions of one gateway instance, one a line. It implements logic.Executor.
 type actionWriter struct {
 	instance     *config.Instance
 	out          *bufio.Writer
 	instanceName string
 }
 
+// beginAction writes the name of an action and of the instance; its arguments and endLine follow.
 func (a *actionWriter) beginAction(action string) {
 	a.out.WriteString(action)
 	a.out.WriteByte(' ')
@@ -76,7 +77,7 @@
 	a.endLine()
 }
 
-// SendPeerMessage takes as many messages as it needs.
+// SendPeerMessage sends entries in as many messages as they need.
 func (a *actionWriter) SendPeerMessage(to int, entries []logic.PeerEntry) {
 	for message := range a.instance.EncodePeerMessages(entries) {
 		a.beginAction("announce")
@@ -92,11 +93,11 @@
 	a.endLine()
 }
 
-// The module keeps one timer, so one handle does.
+// timerHandle is the handle of the only timer that the decision core keeps.
 const timerHandle = 1
 
-// SetTimer rounds up: the module waits for a timer that it has set, and one that falls due before its time would
-// be its last.
+// SetTimer rounds the delay up to whole microseconds: the decision core sets no other timer while it waits for this one, so that after one
+// that fires early it would wait for ever.
 func (a *actionWriter) SetTimer(delay time.Duration) {
 	a.beginAction("set_alarm")
 	a.writeInt(timerHandle)
--- a/internal/simwire/largefleet_test.go
+++ b/internal/simwire/largefleet_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// A gateway among a thousand that draws for a thousand hosts takes its list in whole and as changes, is asked by each of the others, and
-// answers each.
+// One of a thousand gateways, the coordinator of a zone, accepts a list of a thousand hosts as a whole and as changes, gets a pick request
+// from each of the other gateways, and answers each.
 func TestServeLargeFleet(t *testing.T) {
 	const largeFleetSize = 1024
 	var in, out strings.Builder
@@ -30,10 +30,10 @@
 	}
 	for i := 1; i < largeFleetSize; i++ {
 		if n := strings.Count(out.String(), fmt.Sprintf("announce gateway/0 %d ", i)); n != 1 {
-			t.Fatalf("gateway %d is answered %d times", i, n)
+			t.Fatalf("gateway %d got %d pick responses", i, n)
 		}
 	}
 	if strings.Contains(out.String(), " 0000000000") {
-		t.Error("an ask is answered with no host")
+		t.Error("a pick response names no host")
 	}
 }
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -1,5 +1,5 @@
-// Package simwire speaks the simulator's wire: it turns the lines it reads straight into calls on the
-// decisions and their answers straight into lines. The wire's names go no further than this package.
+// Package simwire implements the line protocol of the simulator: it reads events, calls the decision cores of the gateway instances that the
+// simulator has opened, and writes the actions that these take. The protocol's names are used in this package only.
 package simwire
 
 import (
@@ -36,6 +36,7 @@
 	}
 }
 
+// server reads the events of all gateway instances and keeps their state.
 type server struct {
 	in            *bufio.Reader
 	out           *bufio.Writer
@@ -43,11 +44,12 @@
 	now           time.Duration
 	inBatch       bool
 	lineNumber    int
-	longLine      []byte // a line longer than the reader's buffer
-	hostBuffer    []logic.Host
-	internedNames map[string]string // zones and machines: lists name the same few again and again
+	longLine      []byte            // holds a line longer than the reader's buffer; reused
+	hostBuffer    []logic.Host      // the hosts of the last list; reused
+	internedNames map[string]string // zones and machine types, which every host list repeats
 }
 
+// readLine returns the next line without its end, valid until the next call.
 func (s *server) readLine() ([]byte, error) {
 	s.lineNumber++
 	line, err := s.in.ReadSlice('\n')
@@ -61,14 +63,14 @@
 	}
 	if err != nil {
 		if errors.Is(err, io.EOF) && (len(line) > 0 || s.inBatch) {
-			return nil, errors.New("the input ends within a batch")
+			return nil, errors.New("unexpected end of input in a batch")
 		}
 		return nil, err
 	}
 	return bytes.TrimSuffix(line[:len(line)-1], []byte("\r")), nil
 }
 
-// lineParser reads the parts of a line; the first that is wrong is kept as its error.
+// lineParser reads the fields of a line, which are separated by single spaces, and keeps the first error.
 type lineParser struct {
 	rest []byte
 	err  error
@@ -76,7 +78,7 @@
 
 func (p *lineParser) nextField() []byte {
 	if p.rest == nil {
-		p.fail("too few values")
+		p.fail("too few fields")
 		return nil
 	}
 	field, rest, more := bytes.Cut(p.rest, []byte(" "))
@@ -93,6 +95,7 @@
 	}
 }
 
+// nextInt reads a whole number, 0 if the field is absent.
 func (p *lineParser) nextInt() int64 {
 	text := p.nextField()
 	if isAbsent(text) {
@@ -105,7 +108,7 @@
 	n := int64(0)
 	for _, c := range digits {
 		if c < '0' || c > '9' || n > (1<<63-10)/10 {
-			p.fail("%q is not a whole number", text)
+			p.fail("%q is not an integer", text)
 			return 0
 		}
 		n = n*10 + int64(c-'0')
@@ -116,7 +119,7 @@
 	return n
 }
 
-// nextFloat is a figure that need not be whole, 0 where it is absent.
+// nextFloat reads a number, 0 if the field is absent.
 func (p *lineParser) nextFloat() float64 {
 	text := p.nextField()
 	if isAbsent(text) {
@@ -129,10 +132,12 @@
 	return n
 }
 
+// nextDuration reads a whole number of microseconds.
 func (p *lineParser) nextDuration() time.Duration {
 	return time.Duration(p.nextInt()) * time.Microsecond
 }
 
+// decodePeerMessage decodes a peer message in hexadecimal digits.
 func decodePeerMessage(instance *config.Instance, text []byte) ([]logic.PeerEntry, error) {
 	if isAbsent(text) {
 		return nil, nil
@@ -144,8 +149,10 @@
 	return instance.DecodePeerMessage(msg)
 }
 
+// isAbsent reports whether a field has no value: it is empty or "-".
 func isAbsent(text []byte) bool { return len(text) == 0 || len(text) == 1 && text[0] == '-' }
 
+// outcomesByName has the protocol's names of hop outcomes.
 var outcomesByName = map[string]logic.HopOutcome{
 	"pass": logic.HopCommitted, "fault": logic.HopError, "no_room": logic.HopHostFull, "too_slow": logic.HopTimedOut,
 	"no_route": logic.HopNoConnection, "cut": logic.HopConnectionBroken, "undone": logic.HopCalledOff, "stale_send": logic.HopNotSent,
@@ -160,6 +167,7 @@
 	return outcome
 }
 
+// nextLoadReport reads a load report such as "rif:3,q:1". Names that are not known are skipped.
 func (p *lineParser) nextLoadReport() logic.LoadReport {
 	report := logic.NoLoadReport
 	text := p.nextField()
@@ -194,20 +202,20 @@
 	return report
 }
 
-// handleEvent carries out one line.
+// handleEvent handles one line, which is an event or the beginning or end of a batch.
 func (s *server) handleEvent(line []byte) error {
 	p := &lineParser{rest: line}
 	event := p.nextField()
 	switch string(event) {
 	case "round":
 		if s.inBatch {
-			return errors.New("a batch begins within a batch")
+			return errors.New("batch within a batch")
 		}
 		s.now, s.inBatch = p.nextDuration(), true
 		return p.err
 	case "end":
 		if !s.inBatch {
-			return errors.New("a batch ends that has not begun")
+			return errors.New("end of a batch that has not begun")
 		}
 		s.inBatch = false
 		s.out.WriteString("done\n")
@@ -237,20 +245,21 @@
 		return s.handleHostList(p, instance)
 	}
 	if instance == nil {
-		return fmt.Errorf("%s for %q, which has not started", event, instanceName)
+		return fmt.Errorf("%s for instance %q, which is not open", event, instanceName)
 	}
 	return s.handleInstanceEvent(string(event), p, instance, string(instanceName))
 }
 
+// handleInstanceEvent handles an event for an open instance.
 func (s *server) handleInstanceEvent(event string, p *lineParser, instance *config.Instance, instanceName string) error {
 	switch event {
 	case "ingress":
 		id := logic.TxID(p.nextInt())
-		p.nextInt() // what the bits say: no decision needs it so far
+		p.nextInt() // flags, which no decision needs
 		tenantName := p.nextField()
 		objectKey := p.nextField()
 		budget := p.nextDuration()
-		p.nextInt() // nor the guess of its cost
+		p.nextInt() // estimated cost, which no decision needs
 		profile, known := instance.ProfileIndexes[string(p.rest)]
 		if !known && p.err == nil {
 			p.fail("unknown profile %q", p.rest)
@@ -267,7 +276,7 @@
 		}
 	case "response":
 		id, hop := logic.TxID(p.nextInt()), int(p.nextInt())
-		p.nextInt() // the host, which the hop names already
+		p.nextInt() // the host, which the hop implies
 		outcome, latency := p.nextOutcome(), p.nextDuration()
 		answered, load := p.nextInt() == 1, p.nextLoadReport()
 		if p.err == nil {
@@ -275,7 +284,7 @@
 		}
 	case "echo":
 		host, outcome := logic.HostID(p.nextInt()), p.nextField()
-		p.nextInt() // how long it took
+		p.nextInt() // latency of the probe
 		load := p.nextLoadReport()
 		if string(outcome) != "pass" {
 			load = logic.NoLoadReport
@@ -290,7 +299,7 @@
 	case "whisper":
 		from := int(p.nextInt())
 		if from < 0 || from >= instance.GatewayCount {
-			p.fail("no gateway %d", from)
+			p.fail("unknown gateway %d", from)
 		}
 		entries, err := decodePeerMessage(instance, p.nextField())
 		if err != nil {
@@ -318,19 +327,20 @@
 	return nil
 }
 
+// listKindsByNumber has the protocol's numbers of kinds of host lists.
 var listKindsByNumber = map[int64]logic.ListKind{2: logic.ListChanges, 1: logic.ListComplete, 0: logic.ListCached, 4: logic.ListFailed}
 
-// handleHostList reads a list with its entries, which stand on lines of their own.
+// handleHostList reads a host list, with one host on each of the following lines.
 func (s *server) handleHostList(p *lineParser, instance *config.Instance) error {
 	kindNumber := p.nextInt()
 	kind, ok := listKindsByNumber[kindNumber]
-	p.nextInt() // its version: lists come in order
+	p.nextInt() // version, which is not needed: lists come in order
 	hostCount := p.nextInt()
 	if p.err == nil && !ok {
-		p.fail("unknown kind of list %d", kindNumber)
+		p.fail("unknown list kind %d", kindNumber)
 	}
 	if p.err == nil && instance == nil {
-		p.fail("for an instance that has not started")
+		p.fail("instance is not open")
 	}
 	if p.err != nil {
 		return fmt.Errorf("peers_known: %w", p.err)
@@ -343,7 +353,7 @@
 		}
 		entry := &lineParser{rest: line}
 		if prefix := entry.nextField(); string(prefix) != "m" {
-			return fmt.Errorf("peers_known: %q where an entry belongs", line)
+			return fmt.Errorf("peers_known: %q is not a host entry", line)
 		}
 		id, zone, machine, cell := entry.nextInt(), s.intern(entry.nextField()), s.intern(entry.nextField()), int(entry.nextInt())
 		state := entry.nextInt()
@@ -359,6 +369,7 @@
 	return nil
 }
 
+// intern returns the text as a string that is allocated once.
 func (s *server) intern(text []byte) string {
 	if known, ok := s.internedNames[string(text)]; ok {
 		return known
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// A batch of every common event, and its reply; an instance that is killed and started again knows nothing.
+// Batches with every common event, and the replies. An instance that is retired and opened again has lost its state.
 func ExampleServe() {
 	serveLines(os.Stdout, "round 1000000", "open_instance gateway/0 5 SETTINGS",
 		"peers_known gateway/0 0 1 1", "m 17 a box 0 1 1 -", "end",
@@ -54,7 +54,7 @@
 	// done
 }
 
-// What is malformed ends the run with its line and a plain word on what is wrong.
+// Malformed input ends Serve with an error that gives the line and what is wrong.
 func ExampleServe_malformed() {
 	openInstance := "open_instance gateway/0 5 SETTINGS"
 	for _, lines := range [][]string{
@@ -73,17 +73,17 @@
 		serveLines(io.Discard, lines...)
 	}
 	// Output:
-	// error: line 2: timeout_fired for "gateway/0", which has not started
+	// error: line 2: timeout_fired for instance "gateway/0", which is not open
 	// error: line 2: settings: json: cannot unmarshal string into Go struct field settings.balancers of type int
 	// error: line 2: settings: profile x: unknown effect "twice"
-	// error: line 1: "soon" is not a whole number
+	// error: line 1: "soon" is not an integer
 	// error: line 1: event "timeout_fired" outside a batch
-	// error: line 3: ingress: too few values
+	// error: line 3: ingress: too few fields
 	// error: line 3: response: unknown outcome "lost"
 	// error: line 3: response: "rif:many" is not a load report
 	// error: line 4: peers_known: entry "m 17 a box 0 7 1 -": unknown state 7
 	// error: line 3: whisper: message: encoding/hex: invalid byte: U+007A 'z'
-	// error: line 3: whisper: no gateway 2
+	// error: line 3: whisper: unknown gateway 2
 	// error: line 3: whisper: message: unknown kind 7 or outcome 7
-	// error: line 2: the input ends within a batch
+	// error: line 2: unexpected end of input in a batch
 }
