--- a/cmd/spanmux/idleclients_test.go
+++ b/cmd/spanmux/idleclients_test.go
@@ -17,7 +17,7 @@
 	"time"
 )
 
-// startProcess starts the program as a process of its own, told what is given beside the usual; limits are its sockets.
+// startProcess starts the program as a process of its own, with the usual configuration plus overrides. The first of files is its listener.
 func startProcess(dir string, n, sockets, gateways int, overrides map[string]any, files ...*os.File) *exec.Cmd {
 	config := map[string]any{"name": fmt.Sprint(n), "listen": "127.0.0.1:1", "seed": fmt.Sprintf("%x", 7+n), "limits": map[string]any{"sockets": sockets, "memory_mb": 64},
 		"settings": json.RawMessage(fmt.Sprintf(`{"balancers":%d,"me":%d,"dcs":["a"],"myZone":"a","discovery":"subscribe",`+
@@ -27,9 +27,9 @@
 		config[key] = value
 	}
 	text, err := json.Marshal(config)
-	path := filepath.Join(dir, fmt.Sprint("told", n))
+	path := filepath.Join(dir, fmt.Sprint("config", n))
 	if err != nil || os.WriteFile(path, text, 0o600) != nil {
-		panic("the file of what the gateway is told")
+		panic("cannot write the configuration file")
 	}
 	p := exec.Command(os.Args[0])
 	p.Env = append(os.Environ(), "SPANMUX_TEST_RUN=1", "BALANCER_CONFIG="+path, "TMPDIR="+dir)
@@ -42,7 +42,7 @@
 	return p
 }
 
-// openSockets is how many a process has open.
+// openSockets returns the number of sockets that a process has open.
 func openSockets(p *exec.Cmd) (n int) {
 	dir := fmt.Sprintf("/proc/%d/fd", p.Process.Pid)
 	names, _ := os.ReadDir(dir)
@@ -54,13 +54,13 @@
 	return n
 }
 
-// idleClients are clients that fill a gateway for as long as they are let: they come again as soon as they are closed. Every other one says
-// nothing, the others keep their connection after one answer: to a transaction first, later to a look whether the gateway is ready.
+// idleClients keep a gateway full of idle connections until stopped: each connects again when its connection is closed. Every other one sends
+// nothing. The others keep their connection after one response: to a transaction at first, later to a readiness check.
 type idleClients struct {
 	stop     chan bool
 	running  sync.WaitGroup
-	open     atomic.Int64 // connections open
-	answered atomic.Int64 // answers had
+	open     atomic.Int64 // connections
+	answered atomic.Int64 // responses received
 }
 
 func startIdleClients(addr string, count int) *idleClients {
@@ -73,7 +73,7 @@
 				select {
 				case <-clients.stop:
 					return
-				case <-time.After(500 * time.Millisecond): // or they would have the machine's cores, not the gateway's sockets
+				case <-time.After(500 * time.Millisecond): // so that they use up the gateway's sockets and not the machine's cores
 				}
 				if conn, err := net.Dial("tcp", addr); err == nil {
 					clients.hold(conn, n, i)
@@ -93,7 +93,7 @@
 		defer close(closed)
 		if n%2 == 0 {
 			path := "read"
-			if i > 0 { // as transactions they would be load, not idle
+			if i > 0 { // transactions would be load
 				path = "ready"
 			}
 			fmt.Fprintf(conn, "GET /%s HTTP/1.1\r\nHost: x\r\nX-Trace-Id: idle-%d\r\nX-Qos: read\r\nX-Expires-In-Ms: 1000\r\n\r\n", path, n)
@@ -115,7 +115,7 @@
 	c.running.Wait()
 }
 
-// adminAnswers tells whether an operator is answered within a second.
+// adminAnswers reports whether the admin API responds within a second, with a body that has the prefix.
 func adminAnswers(admin, path, prefix string) bool {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	response, err := client.Get("http://" + admin + "/-/" + path)
@@ -127,17 +127,17 @@
 	return err == nil && strings.HasPrefix(string(text), prefix)
 }
 
-// Idle clients take all that a gateway of 100 sockets gives clients, and go on coming, while discovery is down: some have said nothing, some keep
-// their connection between transactions. They must not close the ways that are not theirs: the operators' door answers, discovery is asked as
-// soon as it is back, hosts are reached, and who comes with a transaction gets it served. Nor may the gateway go over its sockets.
-// Where hosts' part of the sockets was in use for a moment, a hop ended as one whose host is not there, and the breakers of all good hosts opened:
-// it waits in line now, and where that is in vain nothing is held against its host.
-// So for a process alone, and for one that shares its listener: that takes no client off it before it has a list.
+// Idle clients take all client connections of a gateway limited to 100 sockets, and keep coming, while discovery is down: some have sent nothing,
+// some keep their connection between transactions. All the same the admin API responds, discovery is called as soon as it is back, hosts are
+// reached, new clients get their transactions served, and the gateway stays within its socket limit.
+// Guards against hops failing while all sockets for hosts are in use for a moment: such a hop counted as one to a host that is down, and the
+// circuit breakers of all good hosts opened. Now it waits for a socket, and if it gets none its host is not blamed.
+// Checked for a process alone, and for one that shares its listener and accepts no client before it has a host list.
 func Example_idleClientsFill() {
 	for _, sharesListener := range []bool{false, true} {
-		socketLimit := map[bool]int64{false: 100, true: 200}[sharesListener] // of which one that shares takes half at its start
+		socketLimit := map[bool]int64{false: 100, true: 200}[sharesListener] // a process that shares its listener uses half at its start
 		host := startDiscovery(6, func(w http.ResponseWriter, r *http.Request) {
-			time.Sleep(20 * time.Millisecond) // some work, over what a busy machine adds to it
+			time.Sleep(20 * time.Millisecond) // longer than the delays that a busy machine adds
 			io.WriteString(w, "answer")
 		})
 		dir, _ := os.MkdirTemp("", "spanmux")
@@ -168,7 +168,7 @@
 			}
 		}()
 		filled := eventually(func() bool {
-			return idle.open.Load() > 40 && (sharesListener || int64(openSockets(p)) >= 40 && idle.answered.Load() > socketLimit/4) // 41 are for clients
+			return idle.open.Load() > 40 && (sharesListener || int64(openSockets(p)) >= 40 && idle.answered.Load() > socketLimit/4) // 41 sockets are for clients
 		})
 		adminOK := 0
 		for range 20 {
@@ -177,8 +177,8 @@
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
-		fmt.Println("shares its listener:", sharesListener, "up:", up, "filled:", filled, "door answers, of 20:", adminOK)
-		listener, err := net.Listen("tcp", discovery) // discovery returns
+		fmt.Println("shares its listener:", sharesListener, "up:", up, "filled:", filled, "admin responses, of 20:", adminOK)
+		listener, err := net.Listen("tcp", discovery) // discovery is back
 		if err != nil {
 			panic(err)
 		}
@@ -200,28 +200,28 @@
 		senders.Wait()
 		var metrics struct{ Ejected int }
 		json.Unmarshal([]byte(adminRequest("GET", admin, "metrics")), &metrics)
-		fmt.Println("served, of 60:", served.Load(), "door answers:", adminAnswers(admin, "ready", "yes"), "hosts barred:", metrics.Ejected)
+		fmt.Println("served, of 60:", served.Load(), "admin responds:", adminAnswers(admin, "ready", "yes"), "hosts ejected:", metrics.Ejected)
 		idle.stopAll()
 		<-watchDone
-		fmt.Println("over its sockets:", maxOpen > socketLimit, "were full:", maxOpen > socketLimit/3)
+		fmt.Println("over its socket limit:", maxOpen > socketLimit, "filled:", maxOpen > socketLimit/3)
 		p.Process.Signal(syscall.SIGTERM)
 		fmt.Println("ended:", p.Wait())
 		listener.Close()
 	}
 	// Output:
-	// shares its listener: false up: true filled: true door answers, of 20: 20
+	// shares its listener: false up: true filled: true admin responses, of 20: 20
 	// ready: true soon: true
-	// served, of 60: 60 door answers: true hosts barred: 0
-	// over its sockets: false were full: true
+	// served, of 60: 60 admin responds: true hosts ejected: 0
+	// over its socket limit: false filled: true
 	// ended: <nil>
-	// shares its listener: true up: true filled: true door answers, of 20: 20
+	// shares its listener: true up: true filled: true admin responses, of 20: 20
 	// ready: true soon: true
-	// served, of 60: 60 door answers: true hosts barred: 0
-	// over its sockets: false were full: true
+	// served, of 60: 60 admin responds: true hosts ejected: 0
+	// over its socket limit: false filled: true
 	// ended: <nil>
 }
 
-// forwardConnections passes connections on to an address.
+// forwardConnections forwards the connections of a listener to an address.
 func forwardConnections(listener net.Listener, to string) {
 	for {
 		client, err := listener.Accept()
@@ -241,7 +241,7 @@
 	}
 }
 
-// sendRequest asks once on a new connection; it is 1 where that is served within two seconds.
+// sendRequest sends a request on a new connection and returns 1 if it is served within two seconds, 0 if not.
 func sendRequest(addr, traceID string) int64 {
 	conn, err := net.DialTimeout("tcp", addr, 2*time.Second)
 	if err != nil {
--- a/cmd/spanmux/largefleet_plain_test.go
+++ b/cmd/spanmux/largefleet_plain_test.go
@@ -5,9 +5,9 @@
 import "time"
 
 const (
-	// maxLargeFleetMemoryKB is the most memory that a process before so many gateways and hosts may have had in use, in kB, of the 64 MB that it is
-	// given: half of that, as another process may follow it, beside the program's own text.
+	// maxLargeFleetMemoryKB bounds the peak memory of a process among so many gateways and hosts: half of its 64 MB, as another process may
+	// follow it, and the program's own text.
 	maxLargeFleetMemoryKB = 48 << 10
-	// largeFleetPickTimeout is the time for all other gateways that ask at the same moment to be answered.
+	// largeFleetPickTimeout bounds the time to answer pick requests that all other gateways send at the same moment.
 	largeFleetPickTimeout = 2 * time.Second
 )
--- a/cmd/spanmux/largefleet_test.go
+++ b/cmd/spanmux/largefleet_test.go
@@ -22,15 +22,15 @@
 )
 
 const (
-	// largeFleetSize is how many gateways, and how many hosts, the program may not fall short of.
+	// largeFleetSize is the number of gateways, and of hosts, that the program has to support.
 	largeFleetSize = 1024
-	// maxLargeFleetStartDuration is the time for a process to take clients with so many of both.
+	// maxLargeFleetStartDuration bounds the time until a process with so many of both is ready.
 	maxLargeFleetStartDuration = 3 * time.Second
-	// maxLargeFleetThreads is the most threads that it may have, however many gateways and hosts there are.
+	// maxLargeFleetThreads bounds the number of its threads, which must not grow with the number of gateways and hosts.
 	maxLargeFleetThreads = 40
 )
 
-// hostFleet is so many hosts, each at an address of its own, with the discovery that lists them.
+// hostFleet is largeFleetSize hosts, each with an address of its own, and the discovery server that lists them.
 type hostFleet struct {
 	mu        sync.Mutex
 	reached   map[string]bool // by address
@@ -89,7 +89,7 @@
 	return len(h.reached)
 }
 
-// openPeerSockets are the other gateways, with the address that is left for the one which is tested.
+// openPeerSockets opens a socket for each of the other gateways. The first of the addresses is left for the gateway under test.
 func openPeerSockets(t *testing.T) (peers []*net.UDPConn, addrs []string) {
 	t.Helper()
 	for i := range largeFleetSize {
@@ -108,7 +108,7 @@
 	return peers, addrs
 }
 
-// requestPicks has each of other gateways ask one for a host, all at once, and counts those that are answered with one within a time.
+// requestPicks sends a remote pick request from each of the peers at once, and counts those that get a response with a host before the timeout.
 func requestPicks(peers []*net.UDPConn, to string, timeout time.Duration) (answered int) {
 	const kindPickRequest, kindPickResponse, entryBytes = 3, 4, 10
 	profile := uint16(crc32.ChecksumIEEE([]byte("read")))
@@ -138,7 +138,7 @@
 	return answered
 }
 
-// processStatus is a figure of a process as the system has it.
+// processStatus returns a number from /proc/PID/status.
 func processStatus(t *testing.T, p *exec.Cmd, name string) int {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.Process.Pid))
@@ -148,7 +148,7 @@
 	_, after, _ := strings.Cut(string(text), name+":")
 	fields := strings.Fields(after)
 	if len(fields) == 0 {
-		t.Fatal("no " + name)
+		t.Fatal("no field " + name)
 	}
 	n, err := strconv.Atoi(fields[0])
 	if err != nil {
@@ -157,9 +157,9 @@
 	return n
 }
 
-// A process that is one of a thousand gateways before a thousand hosts, with all of them in its file and in discovery's list, takes clients
-// soon, serves them, answers all other gateways that ask it for a host at the same time, takes its file again, and hands over to the next
-// process, all within a small gateway's memory.
+// A process that is one of a thousand gateways in front of a thousand hosts, with all of them in its configuration and in discovery's list, is
+// ready soon, serves clients, answers simultaneous pick requests of all other gateways, reloads its file and hands over to the next process,
+// within the memory of a small gateway.
 func TestLargeFleetProcess(t *testing.T) {
 	hosts := startHostFleet(t)
 	peers, addrs := openPeerSockets(t)
@@ -175,16 +175,16 @@
 			"peers": addrs, "known": known, "settings": json.RawMessage(settings)}, socket)
 		t.Cleanup(func() { p.Process.Kill() })
 		if !eventually(func() bool { return adminAnswers(admin, "ready", "yes") }) {
-			t.Fatal("never ready")
+			t.Fatal("not ready after 10 s")
 		}
 		startDuration := time.Since(started)
 		if t.Logf("ready after %v", startDuration); startDuration > maxLargeFleetStartDuration {
-			t.Errorf("ready after %v", startDuration)
+			t.Errorf("ready only after %v", startDuration)
 		}
 		return p, admin
 	}
 	checkServes := func(p *exec.Cmd, admin string) {
-		eventually(func() bool { return requestPicks(peers[:1], addrs[0], 100*time.Millisecond) == 1 }) // the datagrams' address is its own by now
+		eventually(func() bool { return requestPicks(peers[:1], addrs[0], 100*time.Millisecond) == 1 }) // until the process has taken over the peer address
 		answered := requestPicks(peers, addrs[0], largeFleetPickTimeout)
 		served := 0
 		for i := range 100 {
@@ -195,11 +195,11 @@
 			t.Error(err)
 		}
 		if answered != len(peers) || served != 100 || metrics.Discovered != largeFleetSize || metrics.Ejected != 0 {
-			t.Errorf("%d of %d gateways were answered, %d of 100 clients; %+v", answered, len(peers), served, metrics)
+			t.Errorf("%d of %d gateways got a pick response, %d of 100 clients were served; %+v", answered, len(peers), served, metrics)
 		}
 		p.Process.Signal(syscall.SIGHUP)
 		if !eventually(func() bool { return strings.Contains(adminRequest("GET", admin, "metrics"), `"sighup_applied":1`) }) {
-			t.Error("its file is not taken again")
+			t.Error("the configuration is not reloaded on SIGHUP")
 		}
 	}
 	checkResources := func(p *exec.Cmd) {
@@ -212,7 +212,7 @@
 	first, admin := start(1, nil)
 	checkServes(first, admin)
 	if !eventually(func() bool { return hosts.reachedHosts() == largeFleetSize }) { // by probes
-		t.Errorf("only %d hosts reached", hosts.reachedHosts())
+		t.Errorf("only %d hosts were reached", hosts.reachedHosts())
 	}
 	checkResources(first)
 	second, admin := start(2, hosts.list)
--- a/cmd/spanmux/main.go
+++ b/cmd/spanmux/main.go
@@ -1,4 +1,4 @@
-// Command spanmux is one gateway: it takes in transactions from clients and passes them to hosts.
+// Command spanmux runs one gateway: it accepts transactions from clients over HTTP and forwards them to hosts.
 package main
 
 import (
@@ -27,11 +27,13 @@
 )
 
 const (
-	memoryLimitFraction = 0.75 // of the limit that the heap may grow to: stacks, sockets' buffers and files count too
-	gcPercent           = 400  // percent before a collection: the heap is small, the memory limit bounds it
+	// memoryLimitFraction is the part of limits.memory_mb that the Go runtime may use: socket buffers and files count towards it too.
+	memoryLimitFraction = 0.75
+	// gcPercent is the heap growth in percent that starts a garbage collection. The heap is small, and the memory limit bounds it.
+	gcPercent = 400
 )
 
-// configFile is what a gateway finds in its file of what it is told.
+// configFile is the content of the configuration file.
 type configFile struct {
 	Name        string `json:"name"`
 	Listen      string `json:"listen"`
@@ -44,22 +46,22 @@
 		Sockets  int     `json:"sockets"`
 	} `json:"limits"`
 	PeerListen      string          `json:"peer_listen"`
-	Peers           []string        `json:"peers"`
-	AllPeersAddress string          `json:"peers_all"`
-	KnownHostList   json.RawMessage `json:"known"`
+	Peers           []string        `json:"peers"`     // of all gateways by index, this one included
+	AllPeersAddress string          `json:"peers_all"` // reaches all other gateways with one datagram; optional
+	KnownHostList   json.RawMessage `json:"known"`     // to start with until discovery answers; optional
 	Settings        json.RawMessage `json:"settings"`
 }
 
 func main() {
-	path := flag.String("config", os.Getenv("BALANCER_CONFIG"), "file with what the gateway is told, as JSON")
+	path := flag.String("config", os.Getenv("BALANCER_CONFIG"), "configuration file (JSON)")
 	flag.Parse()
 	if err := run(*path, os.Stdout); err != nil {
-		slog.Error("spanmux ends", "error", err)
+		slog.Error("spanmux failed", "error", err)
 		os.Exit(1)
 	}
 }
 
-// readConfig reads what the gateway is told.
+// readConfig reads the configuration file, and returns its text as well.
 func readConfig(path string) (cfg configFile, text []byte, err error) {
 	text, err = os.ReadFile(path)
 	if err != nil {
@@ -72,7 +74,7 @@
 	return cfg, text, err
 }
 
-// listenForClients opens the address for clients, or takes the socket that the platform holds for all processes of the gateway.
+// listenForClients listens on the address for clients, or uses the inherited listening socket that all processes of this gateway share.
 func listenForClients(addr, descriptor string) (net.Listener, error) {
 	if descriptor != "" {
 		return transport.InheritedListener(descriptor)
@@ -80,7 +82,7 @@
 	return net.Listen("tcp", addr)
 }
 
-// run is the gateway from start to end; it prints its counters when asked to and at the end.
+// run runs the gateway until SIGTERM or SIGINT. It prints its counters at the end and on SIGUSR1, and reads its file again on SIGHUP.
 func run(path string, out io.Writer) error {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1, syscall.SIGHUP)
@@ -97,7 +99,7 @@
 		runtime.GOMAXPROCS(int(math.Ceil(cfg.Limits.Cores)))
 	}
 	if fraction := memoryLimitFraction; cfg.Limits.MemoryMB > 0 {
-		if os.Getenv("BALANCER_ACCEPT_FD") != "" { // what this process may use it shares with the next
+		if os.Getenv("BALANCER_ACCEPT_FD") != "" { // the memory is shared with the process that will replace this one
 			fraction /= 2
 		}
 		debug.SetMemoryLimit(int64(fraction * float64(cfg.Limits.MemoryMB<<20)))
@@ -119,8 +121,8 @@
 	serveAdmin, adminConnections := func() {}, 0
 	if cfg.AdminListen != "" {
 		admin, err := control.Listen(cfg.AdminListen, dispatcher)
-		if err != nil { // nobody could drain it or read its figures: better seen now than when they try to
-			return fmt.Errorf("door for operators: %w", err)
+		if err != nil { // fail now: nobody could drain this gateway or read its metrics
+			return fmt.Errorf("admin server: %w", err)
 		}
 		defer admin.Close()
 		serveAdmin = func() { go admin.Serve() }
@@ -129,25 +131,25 @@
 	dispatcher.ConfigureListener(listener, inheritedSocket != "", cfg.Limits.Sockets, adminConnections, cfg.Limits.MemoryMB<<20)
 	if cfg.PeerListen != "" {
 		if err := dispatcher.JoinPeers(cfg.PeerListen, cfg.Peers, cfg.AllPeersAddress); err != nil {
-			slog.Error("goes on without telling other gateways", "error", err) // each keeps all rules alone
+			slog.Error("running without peer messages", "error", err) // every gateway keeps all rules without them
 		}
 	}
 	var knownHosts *protocol.HostList
 	if len(cfg.KnownHostList) > 0 {
 		if knownHosts, err = protocol.ParseHostList(cfg.KnownHostList); err != nil {
-			slog.Warn("known list left out", "error", err)
+			slog.Warn("ignoring the known host list", "error", err)
 		}
 	}
 	if inheritedSocket != "" {
 		handoverSocket := filepath.Join(os.TempDir(), fmt.Sprintf("spanmux-%08x", crc32.ChecksumIEEE([]byte(cfg.Name+cfg.Listen))))
 		if err := dispatcher.ListenForHandover(handoverSocket); err != nil {
-			slog.Warn("answers under way can't be handed over", "error", err)
+			slog.Warn("response streams cannot be handed over", "error", err)
 		}
 	}
 	dispatcher.Start(seed, cfg.Discovery, knownHosts)
 	go dispatcher.Serve()
 	serveAdmin()
-	slog.Info("gateway listens", "at", cfg.Listen, "sockets", cfg.Limits.Sockets)
+	slog.Info("gateway listening", "addr", cfg.Listen, "sockets", cfg.Limits.Sockets)
 
 	for received := <-signals; received == syscall.SIGUSR1 || received == syscall.SIGHUP; received = <-signals {
 		if received == syscall.SIGHUP {
@@ -156,15 +158,15 @@
 			fmt.Fprint(out, dispatcher.CountersText())
 		}
 	}
-	slog.Info("gateway ends: no new clients soon")
+	slog.Info("gateway shutting down")
 	dispatcher.Close()
 	fmt.Fprint(out, dispatcher.CountersText())
 	return nil
 }
 
-// reload reads the file again and takes all that may change under way, or nothing: the file that is in force from then on is
-// given back. One that is missing, torn, incomplete or makes no sense leaves what is in force: this gateway serves, and half a word
-// is no reason to stop, nor to go on by half.
+// reload reads the configuration file again, applies everything in it that may change at runtime, or nothing, and returns the text of the
+// file that is in force afterwards. A file that is missing, truncated, incomplete or invalid changes nothing: the gateway keeps serving with
+// the current one.
 func reload(path string, current []byte, dispatcher *routing.Dispatcher) []byte {
 	cfg, text, err := readConfig(path)
 	if err == nil {
@@ -179,11 +181,11 @@
 	}
 	if err != nil {
 		dispatcher.Counters.SettingsRejected.Add(1)
-		slog.Warn("file turned down, all stays as it was", "error", err)
+		slog.Warn("configuration rejected, keeping the current one", "error", err)
 		return current
 	}
 	dispatcher.ApplySettings(update, cfg.Discovery)
 	dispatcher.Counters.SettingsApplied.Add(1)
-	slog.Info("file taken", "discovery", cfg.Discovery)
+	slog.Info("configuration applied", "discovery", cfg.Discovery)
 	return text
 }
--- a/cmd/spanmux/main_test.go
+++ b/cmd/spanmux/main_test.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// SIGHUP has the file read again, and discovery followed to where it has moved; it must not end the gateway, whatever the
-// file holds by then. SIGTERM ends it.
+// On SIGHUP the gateway reads its file again and calls discovery at its new address. It keeps running whatever the file holds by then.
+// SIGTERM ends it.
 func Example_run() {
 	calls := make(chan string, 9)
 	discovery := func(name string) string {
@@ -54,7 +54,7 @@
 	for _, text := range []string{moved[:len(moved)-9], "{}", moved} {
 		writeConfig(text)
 		syscall.Kill(os.Getpid(), syscall.SIGHUP)
-		time.Sleep(20 * time.Millisecond) // as one for each file
+		time.Sleep(20 * time.Millisecond) // so that each file gets a signal of its own
 	}
 	printNextCall()
 	syscall.Kill(os.Getpid(), syscall.SIGTERM)
@@ -65,7 +65,7 @@
 	// ended, error: <nil>
 }
 
-// Settings that mix a pool of gateways with one for each client process start nothing, and the key is named.
+// A gateway with peers does not start where the settings allow no peer messages; the error names the key.
 func Example_run_peersNotAllowed() {
 	dir, _ := os.MkdirTemp("", "spanmux")
 	defer os.RemoveAll(dir)
--- a/cmd/spanmux/process_test.go
+++ b/cmd/spanmux/process_test.go
@@ -20,10 +20,10 @@
 	"time"
 )
 
-// restrictSyscalls has the kernel refuse this process what a platform may refuse; it is nil where this test does not know the kernel's calls.
+// restrictSyscalls has the kernel refuse this process the system calls that a platform may forbid. It is nil on platforms without the filter.
 var restrictSyscalls func()
 
-// TestMain lets a test start this program as a process of its own.
+// TestMain lets tests start the test binary as the gateway program, in a process of its own.
 func TestMain(m *testing.M) {
 	if os.Getenv("SPANMUX_TEST_RUN") != "" {
 		os.Args = os.Args[:1]
@@ -36,17 +36,17 @@
 	os.Exit(m.Run())
 }
 
-// startGateway starts the program beside others on the socket of ln, with a door of its own, and waits until it takes clients.
+// startGateway starts the program on an inherited listening socket, with an admin server of its own, and waits until it is ready.
 func startGateway(listener *os.File, dir string, n int, discovery, peer string) (p *exec.Cmd, admin string) {
 	return startGatewayWithLimit(nil, listener, dir, n, discovery, peer, 2*time.Second)
 }
 
-// startGatewayWithLog is the same with a log.
+// startGatewayWithLog does the same and writes the log to a file.
 func startGatewayWithLog(log, listener *os.File, dir string, n int, discovery, peer string) (p *exec.Cmd, admin string) {
 	return startGatewayWithLimit(log, listener, dir, n, discovery, peer, 2*time.Second)
 }
 
-// startGatewayWithLimit is the same with a hard limit of its own.
+// startGatewayWithLimit does the same with a given hard limit.
 func startGatewayWithLimit(log, listener *os.File, dir string, n int, discovery, peer string, hardLimit time.Duration) (p *exec.Cmd, admin string) {
 	admin = freeAddress()
 	path := filepath.Join(dir, fmt.Sprint(n))
@@ -58,7 +58,7 @@
 			`{"name":"write","effect":"deduplicated","group":"all","window":2000000,"serviceGoal":2000000,"hardLimit":2000000,` +
 			`"revenue":1}]}`)})
 	if err != nil || os.WriteFile(path, text, 0o600) != nil {
-		panic("the file of what the gateway is told")
+		panic("cannot write the configuration file")
 	}
 	p = exec.Command(os.Args[0])
 	p.Env = append(os.Environ(), "SPANMUX_TEST_RUN=1", "BALANCER_CONFIG="+path, "BALANCER_ACCEPT_FD=3", "TMPDIR="+dir)
@@ -74,16 +74,17 @@
 	}
 	for end := time.Now().Add(5 * time.Second); adminRequest("GET", admin, "ready") != "yes"; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			panic("never ready")
+			panic("gateway is not ready after 5 s")
 		}
 	}
 	return p, admin
 }
 
+// freeAddressCalls lets each call of freeAddress use another loopback IP.
 var freeAddressCalls atomic.Uint32
 
-// freeAddress is an address that nobody listens at. Each has a loopback IP of its own: between the closing here and the listening there a port of
-// 127.0.0.1 may become that of an outgoing connection, as thirty processes that call discovery make thousands ("address already in use").
+// freeAddress returns an address that nobody listens on. Each has a loopback IP of its own: a port of 127.0.0.1 could become that of an
+// outgoing connection before the caller listens on it ("address already in use"), as thirty processes that call discovery open thousands.
 func freeAddress() string {
 	process, call := os.Getpid(), freeAddressCalls.Add(1)
 	ip := net.IPv4(127, byte(1+process>>8%250), byte(process), byte(1+call%250))
@@ -95,7 +96,7 @@
 	return listener.Addr().String()
 }
 
-// dial is a client's new connection.
+// dial opens a connection as a client.
 func dial(addr string) net.Conn {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -104,7 +105,7 @@
 	return conn
 }
 
-// adminRequest is what an operator gets.
+// adminRequest sends a request to the admin API and returns the body of the response.
 func adminRequest(method, admin, path string) string {
 	request, err := http.NewRequest(method, "http://"+admin+"/-/"+path, nil)
 	if err != nil {
@@ -119,7 +120,7 @@
 	return strings.TrimSpace(string(text))
 }
 
-// counterValue is what a gateway that has ended counted.
+// counterValue returns a counter from the output of a gateway that has ended.
 func counterValue(dir string, n int, name string) string {
 	text, _ := os.ReadFile(filepath.Join(dir, fmt.Sprint(n, ".counters")))
 	_, after, _ := strings.Cut(string(text), "spanmux_"+name+" ")
@@ -127,7 +128,7 @@
 	return value
 }
 
-// eventually waits for what is to come about, for ten seconds at the most.
+// eventually waits up to ten seconds for a condition and reports whether it came true.
 func eventually(condition func() bool) bool {
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if condition() {
@@ -137,12 +138,13 @@
 	return false
 }
 
-// Two real processes on one inherited socket: the second takes over while clients ask all the time, on connections that they keep
-// and on new ones, and none is refused, closed on or left unread. Only the first ends; the datagrams' address goes over.
+// Two processes share an inherited listening socket. The second replaces the first while clients send requests all the time, on kept and on
+// new connections: none is refused, closed without a response or left unread, and the second gets the address for peer messages.
 //
-// A message that came whole in the instant of SIGTERM was taken, and its client then taken for one that had left (see
-// ExampleClient_MarkActive_rejected): on a new connection it counted as turned back, on a kept one it hid among those that cross. The first's
-// own count tells both. How much is asked before and after is counted, not timed: under load the pace is the machine's.
+// Guards against a request that arrived in the instant of SIGTERM being accepted and its client then being taken for gone (see
+// ExampleClient_MarkActive_rejected). On a new connection that counts as rejected; on a kept one it looks like a connection closed while idle,
+// so that the first process's counter tx_left is checked too. Requests before and after are counted, not timed: under load the rate depends
+// on the machine.
 func Example_replaced() {
 	discovery := startDiscovery(1, func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "answer") })
 	addr, socket, dir := sharedListener()
@@ -167,30 +169,30 @@
 	for range 8 {
 		<-stopped
 	}
-	fmt.Println("asked:", enoughRequests, "turned back:", rejected.Load(), "crossed:", closedWhileIdle.Load() > 4, "first ended:", ended)
-	fmt.Println("taken by the first and left without an answer:", counterValue(dir, 1, "tx_left"))
+	fmt.Println("enough requests:", enoughRequests, "rejected:", rejected.Load(), "too many closed while idle:", closedWhileIdle.Load() > 4, "first ended:", ended)
+	fmt.Println("accepted by the first and not answered:", counterValue(dir, 1, "tx_left"))
 	fmt.Println("first:", adminRequest("GET", admin, "ready"), "second:", adminRequest("GET", admin2, "ready"))
 	conn, err := net.ListenPacket("udp", peer)
-	fmt.Println("datagrams go to the second:", conn == nil && err != nil)
+	fmt.Println("peer address is in use by the second:", conn == nil && err != nil)
 	var metrics struct {
 		Succeeded map[string]int64
 		Forwards  int64
 	}
 	json.Unmarshal([]byte(adminRequest("GET", admin2, "metrics")), &metrics)
-	fmt.Println("the second's figures:", metrics.Succeeded["read"] > 50 && metrics.Forwards >= metrics.Succeeded["read"])
+	fmt.Println("metrics of the second:", metrics.Succeeded["read"] > 50 && metrics.Forwards >= metrics.Succeeded["read"])
 	second.Process.Signal(syscall.SIGTERM)
 	fmt.Println("second ended:", second.Wait())
 	// Output:
-	// asked: true turned back: 0 crossed: false first ended: <nil>
-	// taken by the first and left without an answer: 0
+	// enough requests: true rejected: 0 too many closed while idle: false first ended: <nil>
+	// accepted by the first and not answered: 0
 	// first: no answer second: yes
-	// datagrams go to the second: true
-	// the second's figures: true
+	// peer address is in use by the second: true
+	// metrics of the second: true
 	// second ended: <nil>
 }
 
-// runClient asks every few milliseconds until told to stop; some keep their connection, some do not. A connection that stood idle may be
-// closed just as it is used again: that crosses, and is asked once more on a new one.
+// runClient sends a request every few milliseconds until stopped; some clients keep their connection, some don't. The gateway may close an idle
+// connection just as it is used again: that is counted as closed while idle, and not as rejected.
 func runClient(addr string, n int, stop chan bool, sent, closedWhileIdle, rejected *atomic.Int64) {
 	var conn net.Conn
 	var reader *bufio.Reader
@@ -231,7 +233,7 @@
 	}
 }
 
-// A number that is no listening socket stops the start, and says so; so does a door that can't be opened.
+// The gateway does not start on a descriptor that is not a listening socket, or if the admin server cannot listen; the error says which.
 func Example_run_listenFails() {
 	dir, _ := os.MkdirTemp("", "spanmux")
 	defer os.RemoveAll(dir)
@@ -258,11 +260,11 @@
 	// descriptor "seven" is no number
 	// descriptor 4711 is no listening socket
 	// descriptor 0 is no listening socket
-	// door for operators: listen tcp: address nowhere: missing port in address
+	// admin server: listen tcp: address nowhere: missing port in address
 	// true
 }
 
-// Files that SIGHUP brings are counted as taken or turned down, and a file turned down changes nothing.
+// Files read on SIGHUP are counted as applied or rejected, and a rejected file changes nothing.
 func Example_run_reload() {
 	dir, _ := os.MkdirTemp("", "spanmux")
 	defer os.RemoveAll(dir)
@@ -278,7 +280,7 @@
 	waitFor := func(text string) {
 		for end := time.Now().Add(5 * time.Second); !strings.Contains(adminRequest("GET", admin, "metrics"), text); time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(end) {
-				fmt.Println("never", text)
+				fmt.Println("timed out waiting for", text)
 				return
 			}
 		}
@@ -297,8 +299,8 @@
 	// <nil>
 }
 
-// 32 MiB go both ways through a process that may use 32 MB in all, eight at a time, to clients that read slowly. Held whole they
-// would be far over what is allowed here, which leaves room for a build that looks for races.
+// Eight requests at a time with bodies of 32 MiB in both directions pass through a process with a memory limit of 32 MB, to clients that read
+// slowly. If it buffered whole bodies it would need far more than the bound here, which leaves room for the race detector.
 func Example_largeBodies() {
 	const bodyBytes = 32 << 20
 	serve := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -324,7 +326,7 @@
 			for piece, sent := make([]byte, 1<<20), 0; sent < bodyBytes; sent += len(piece) {
 				conn.Write(piece)
 			}
-			time.Sleep(300 * time.Millisecond) // while the answer waits
+			time.Sleep(300 * time.Millisecond) // while the response waits
 			response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err != nil {
 				whole <- false
@@ -341,16 +343,16 @@
 	_, peak, _ := strings.Cut(string(status), "VmHWM:")
 	var kib int
 	fmt.Sscan(peak, &kib)
-	fmt.Println("memory far under what passed:", kib > 0 && kib < 100<<10)
+	fmt.Println("memory far below the size of the bodies:", kib > 0 && kib < 100<<10)
 	p.Process.Signal(syscall.SIGTERM)
 	fmt.Println("ended:", p.Wait())
 	// Output:
-	// true true true true true true true true memory far under what passed: true
+	// true true true true true true true true memory far below the size of the bodies: true
 	// ended: <nil>
 }
 
-// A long answer under way outlasts the process that began it: the one that takes over goes on with it, in either framing, and then with
-// its client. The first ends without waiting.
+// A long response stream outlasts the process that began it: the process that replaces it continues the stream, in either framing, and then
+// serves the client's next request. The first ends without waiting.
 func Example_handedOver() {
 	const bodyBytes = 3 << 20
 	discovery := startDiscovery(1, func(w http.ResponseWriter, reader *http.Request) {
@@ -360,7 +362,7 @@
 		if reader.URL.RawQuery == "short" {
 			return
 		}
-		for sent := 0; sent < bodyBytes; sent += 32 << 10 { // some four seconds
+		for sent := 0; sent < bodyBytes; sent += 32 << 10 { // in about four seconds
 			w.Write(bytes.Repeat([]byte{byte(sent >> 15)}, 32<<10))
 			http.NewResponseController(w).Flush()
 			time.Sleep(40 * time.Millisecond)
@@ -415,7 +417,7 @@
 	// second ended: <nil>
 }
 
-// startDiscovery is a discovery that lists so many hosts which do the same, and says nothing more.
+// startDiscovery starts a discovery server that lists a number of hosts with the same handler, and never reports a change.
 func startDiscovery(hosts int, serve http.HandlerFunc) string {
 	var targets []string
 	for i := range hosts {
@@ -432,7 +434,7 @@
 	return strings.TrimPrefix(discovery.URL, "http://")
 }
 
-// sharedListener is a listening socket that processes inherit, and a folder that they share.
+// sharedListener opens a listening socket for processes to inherit, and creates a folder that they share.
 func sharedListener() (addr string, socket *os.File, dir string) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -443,9 +445,9 @@
 	return listener.Addr().String(), socket, dir
 }
 
-// Messages that come slowly are at every stage as their process is replaced: nothing heard yet, within the head, within a body that
-// is held, between chunks and within one. The process that follows hears them out, none is turned back, and the first ends without waiting
-// for them. A body that is passed on to its host as it comes is finished by the first.
+// Slow requests are at every stage as their process is replaced: nothing received, within the head, within a buffered body, between chunks and
+// within one. The new process reads the rest, none is rejected, and the first ends without waiting for them. A request whose body is streamed
+// to its host is finished by the first.
 func Example_partialRequests() {
 	discovery := startDiscovery(8, func(w http.ResponseWriter, r *http.Request) {
 		n, err := io.Copy(io.Discard, r.Body)
@@ -462,7 +464,7 @@
 	endOf := func(text, after string) int { return strings.Index(text, after) + len(after) }
 	cases := []struct {
 		what, text string
-		first      int // bytes that are sent before the word to end
+		first      int // bytes sent before SIGTERM
 	}{
 		{"nothing", sized(10), 0},
 		{"within the first line", sized(10), 7},
@@ -473,7 +475,7 @@
 		{"within a chunk's length", chunks, endOf(chunks, "9c")},
 		{"between chunks", chunks, endOf(chunks, "yyy\r\n") - 1},
 		{"before the last chunk's end", chunks, len(chunks) - 3},
-		{"within a body passed on", sized(3 << 20), 1 << 20},
+		{"within a streamed body", sized(3 << 20), 1 << 20},
 	}
 	results := make([]chan string, len(cases))
 	started, resume := make(chan bool), make(chan bool)
@@ -502,7 +504,7 @@
 	for range cases {
 		<-started
 	}
-	time.Sleep(100 * time.Millisecond) // for all of it to be read
+	time.Sleep(100 * time.Millisecond) // for the gateway to read all of it
 	second, admin := startGateway(socket, dir, 2, discovery, freeAddress())
 	signalled := time.Now()
 	first.Process.Signal(syscall.SIGTERM)
@@ -525,14 +527,14 @@
 	// within a chunk's length: 200 40005 <nil> <nil>
 	// between chunks: 200 40005 <nil> <nil>
 	// before the last chunk's end: 200 40005 <nil> <nil>
-	// within a body passed on: 200 3145728 <nil> <nil>
+	// within a streamed body: 200 3145728 <nil> <nil>
 	// first ended: <nil> soon: true
 	// {"succeeded":{"read":0,"write":9},"d
 	// second ended: <nil>
 }
 
-// A process ends before it is killed, however long its settings let a transaction take, and what it has taken has an answer by then: one
-// that a host still has is abandoned, and one of whose body something is missing is rolled back, as no host ever had all of it.
+// A process ends before the platform would kill it, however long the hard limit is, and has answered all transactions by then: one that a host
+// is still working on is abandoned, and one whose body is incomplete is rolled back, as no host ever got all of it.
 func Example_endsInTime() {
 	discovery := startDiscovery(8, func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
@@ -572,14 +574,14 @@
 	results := []string{<-statuses, <-statuses}
 	slices.Sort(results)
 	fmt.Println(strings.Join(results, ", "))
-	fmt.Println("ended:", first.Wait(), "before it is killed:", time.Since(signalled) < 3700*time.Millisecond)
+	fmt.Println("ended:", first.Wait(), "before it would be killed:", time.Since(signalled) < 3700*time.Millisecond)
 	// Output:
 	// 503 Service Unavailable, 504 Gateway Timeout
-	// ended: <nil> before it is killed: true
+	// ended: <nil> before it would be killed: true
 }
 
-// Long answers stand at every stage as their process is replaced, with hosts that go on only once that process is gone, killed as its time
-// ends where it has not ended by itself: all come whole, from the process that follows.
+// Long responses are at every stage as their process is replaced, and their hosts send the rest only once that process is gone, killed if it
+// has not ended in time. All clients get the whole response from the new process.
 func Example_streamsAtEveryStage() {
 	const bodyBytes = 2 << 20
 	body := make([]byte, bodyBytes)
@@ -594,7 +596,7 @@
 	chunks += "0\r\nTrailer: t\r\n\r\n"
 	stages := []struct {
 		what, text string
-		first      int // bytes that the host gives before the word to end
+		first      int // bytes that the host sends before SIGTERM
 	}{
 		{"no head yet", sized + string(body), 0},
 		{"within the head", sized + string(body), 20},
@@ -620,7 +622,7 @@
 		s := stages[stage]
 		io.WriteString(conn, s.text[:s.first])
 		started <- true
-		if stage < 2 { // where there is no head the process that has the transaction waits for it
+		if stage < 2 { // without a response head the first process waits for it
 			<-resume
 		} else {
 			<-firstGone
@@ -647,7 +649,7 @@
 			results[i] <- fmt.Sprint(response.StatusCode, " whole: ", bytes.Equal(received, body), " ", err)
 		}()
 	}
-	for i := len(stages) - 1; i >= 0; i-- { // those without a head last: their time runs
+	for i := len(stages) - 1; i >= 0; i-- { // those without a response head last: their deadline runs
 		if send(i); i == 2 {
 			for range len(stages) - 2 {
 				<-started
--- a/cmd/spanmux/restart_plain_test.go
+++ b/cmd/spanmux/restart_plain_test.go
@@ -2,5 +2,5 @@
 
 package main
 
-// restartedProcesses is how many processes are started at once.
+// restartedProcesses is the number of processes started at once.
 const restartedProcesses = 30
--- a/cmd/spanmux/restart_race_test.go
+++ b/cmd/spanmux/restart_race_test.go
@@ -2,6 +2,6 @@
 
 package main
 
-// restartedProcesses is how many processes are started at once. One that looks for races takes ten times as long to read a list, and the cores are what thirty of them
-// would measure.
+// restartedProcesses is the number of processes started at once. With the race detector a process takes ten times as long to read a list, so
+// that thirty of them would measure the machine's cores.
 const restartedProcesses = 8
--- a/cmd/spanmux/restart_test.go
+++ b/cmd/spanmux/restart_test.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// overloadedDiscovery is a discovery that lists many hosts, takes its time for each list, and turns calls away over so many at once, as one that all
-// gateways call in the same moment. Watches wait for as long as they are let, beside that.
+// overloadedDiscovery is a discovery server that lists many hosts, is slow to send a list, and rejects calls beyond a number at a time, as one
+// that all gateways call at the same moment. Watches, which wait for changes, don't count.
 type overloadedDiscovery struct {
 	addr                string
 	server              *httptest.Server
@@ -64,16 +64,16 @@
 	d.listsSent.Add(1)
 }
 
-// Nine in ten of thirty processes that are started again at once take clients within ten seconds, though discovery has few places, is slow,
-// turns most calls away, and lists ten thousand hosts. Where it took two seconds for its list none was ever ready: each call was lost after 1.5 s, with
-// most of the list in hand.
+// Nine in ten of thirty processes that are restarted at once are ready within ten seconds, though discovery is slow, rejects most calls and
+// lists ten thousand hosts. Calls used to be given up 1.5 s after their start: where discovery took 2 s to send its list no process was ever
+// ready, each time with most of the list received.
 func Example_restartedAtOnce() {
 	restartAtOnce(4*restartedProcesses/30, 400*time.Millisecond)
 	restartAtOnce(restartedProcesses/2, 2*time.Second)
 	// Output:
-	// nine in ten: true calls were turned away: true
+	// nine in ten: true calls were rejected: true
 	// ended, all: true
-	// nine in ten: true calls were turned away: true
+	// nine in ten: true calls were rejected: true
 	// ended, all: true
 }
 
@@ -121,8 +121,8 @@
 			readyInTime++
 		}
 	}
-	fmt.Fprintln(os.Stderr, "ready within 10 s:", readyInTime, "last:", last, "lists:", discovery.listsSent.Load(), "turned away:", discovery.rejected.Load())
-	fmt.Println("nine in ten:", 10*readyInTime >= 9*gateways, "calls were turned away:", discovery.rejected.Load() >= gateways/3)
+	fmt.Fprintln(os.Stderr, "ready within 10 s:", readyInTime, "last:", last, "lists:", discovery.listsSent.Load(), "rejected:", discovery.rejected.Load())
+	fmt.Println("nine in ten:", 10*readyInTime >= 9*gateways, "calls were rejected:", discovery.rejected.Load() >= gateways/3)
 	for _, p := range processes {
 		p.Process.Signal(syscall.SIGTERM)
 	}
--- a/cmd/spanmux/seccomp_linux_amd64_test.go
+++ b/cmd/spanmux/seccomp_linux_amd64_test.go
@@ -14,13 +14,13 @@
 
 func init() { restrictSyscalls = installSeccompFilter }
 
-// installSeccompFilter has the kernel refuse this process, and only this one, what a platform may refuse a gateway: starting programs, fork,
-// io_uring, splice, sendfile, and sockets that are not of IPv4.
+// installSeccompFilter has the kernel refuse this process, and only this one, the system calls that a platform may forbid: starting programs,
+// fork, io_uring, splice, sendfile, and sockets other than IPv4.
 func installSeccompFilter() {
 	const (
 		prctlNoNewPrivs, seccompSetModeFilter, seccompFlagTSync = 38, 1, 1
-		opLoad, opJumpEqual, opJumpBitsSet, opReturn            = 0x20, 0x15, 0x45, 0x06 // BPF, on words of 32 bits
-		offsetSyscallNumber, offsetFirstArgument                = 0, 16                  // where the call's number and its first argument lie
+		opLoad, opJumpEqual, opJumpBitsSet, opReturn            = 0x20, 0x15, 0x45, 0x06 // classic BPF, on 32-bit words
+		offsetSyscallNumber, offsetFirstArgument                = 0, 16                  // in struct seccomp_data
 		actionAllow, actionErrno                                = 0x7fff0000, 0x00050000
 		cloneThread                                             = 0x10000
 	)
@@ -52,12 +52,12 @@
 		panic(err)
 	}
 	if _, err := net.Listen("unix", "refused"); err == nil {
-		panic("nothing is refused")
+		panic("the filter has no effect")
 	}
 }
 
-// A gateway starts, serves and ends in order where the platform refuses it sockets in the file system, splice and sendfile: only the
-// handing over of what it can't finish is missing, and its log says so.
+// A gateway starts, serves and ends normally where the platform forbids Unix sockets, splice and sendfile. Only the handover of responses
+// that it can't finish is missing, and its log says so.
 func Example_restrictedSyscalls() {
 	os.Setenv("SPANMUX_TEST_REFUSE", "1")
 	defer os.Unsetenv("SPANMUX_TEST_REFUSE")
@@ -86,10 +86,10 @@
 	p.Process.Signal(syscall.SIGTERM)
 	fmt.Println("ended:", p.Wait())
 	text, _ := os.ReadFile(log.Name())
-	fmt.Println("says so:", strings.Contains(string(text), "answers under way can't be handed over"))
+	fmt.Println("logged:", strings.Contains(string(text), "response streams cannot be handed over"))
 	// Output:
 	// 200 3145728 3145728 <nil>
 	// yes
 	// ended: <nil>
-	// says so: true
+	// logged: true
 }
