--- a/cmd/spanmux/largefleet_test.go
+++ b/cmd/spanmux/largefleet_test.go
@@ -39,6 +39,7 @@
 	discovery string
 }
 
+// startHostFleet starts the hosts and the discovery server for the duration of a test.
 func startHostFleet(t *testing.T) *hostFleet {
 	t.Helper()
 	h := &hostFleet{reached: map[string]bool{}}
@@ -83,6 +84,7 @@
 	io.WriteString(w, "answer")
 }
 
+// reachedHosts returns the number of hosts that have got a request.
 func (h *hostFleet) reachedHosts() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/cmd/spanmux/restart_test.go
+++ b/cmd/spanmux/restart_test.go
@@ -25,6 +25,7 @@
 	listsSent, rejected atomic.Int64
 }
 
+// startOverloadedDiscovery lists a number of hosts, sends as many lists at a time as there are slots, and takes the delay for each.
 func startOverloadedDiscovery(hosts, slots int, delay time.Duration) *overloadedDiscovery {
 	var targets []string
 	for i := range hosts {
@@ -77,6 +78,7 @@
 	// ended, all: true
 }
 
+// restartAtOnce starts all processes at once, with a discovery server of so many slots and that delay for each list, and prints the results.
 func restartAtOnce(slots int, listDelay time.Duration) {
 	const gateways, hosts = restartedProcesses, 10_000
 	discovery := startOverloadedDiscovery(hosts, slots, listDelay)
--- a/internal/config/check_test.go
+++ b/internal/config/check_test.go
@@ -99,7 +99,7 @@
 	// "ratioSpan":5000000: settings: obligations.spareAttempts: missing or out of range
 	// "spareAttempts":1e9,"resendRatio":0.05,"ratioSpan":5000000: settings: obligations.spareAttempts: missing or out of range
 	// "spareAttempts":10,"resendRatio":"5%","ratioSpan":5000000: settings: json: cannot unmarshal string into Go struct field .obligations.resendRatio of type float64
-	// "availability":0.3,"fullAtNines":0: settings: blend.fullAtNines: 0
-	// "fullAtNines":-1: settings: blend.fullAtNines: -1
-	// "availability":0.3,"fullAtNines":21: settings: blend.fullAtNines: 21
+	// "availability":0.3,"fullAtNines":0: settings: blend.fullAtNines: 0 is out of range
+	// "fullAtNines":-1: settings: blend.fullAtNines: -1 is out of range
+	// "availability":0.3,"fullAtNines":21: settings: blend.fullAtNines: 21 is out of range
 }
--- a/internal/config/update_test.go
+++ b/internal/config/update_test.go
@@ -60,23 +60,23 @@
 	// "hardLimit":400000, -> : .settings.profiles[0].hardLimit: missing
 	// "mostHops":3, -> : .settings.limits.mostHops: missing
 	// ,"limits":{"mostHops":3,"mayTell":true} -> : .settings.limits: missing
-	// "mostHops":3 -> "mostHops":0: settings: limits.mostHops: 0
-	// "mostHops":3 -> "mostHops":-1: settings: limits.mostHops: -1
+	// "mostHops":3 -> "mostHops":0: settings: limits.mostHops: 0 is out of range
+	// "mostHops":3 -> "mostHops":-1: settings: limits.mostHops: -1 is out of range
 	// "mostHops":3 -> "mostHops":"3": settings: json: cannot unmarshal string into Go struct field .limits.mostHops of type int
 	// "mostHops":3 -> "mostHops":2.5: settings: json: cannot unmarshal number 2.5 into Go struct field .limits.mostHops of type int
-	// "mostHops":3 -> "mostHops":1000000: settings: limits.mostHops: 1000000
-	// "hardLimit":400000 -> "hardLimit":0: settings: profile "read": hardLimit
-	// "hardLimit":400000 -> "hardLimit":-5: settings: profile "read": hardLimit
+	// "mostHops":3 -> "mostHops":1000000: settings: limits.mostHops: 1000000 is out of range
+	// "hardLimit":400000 -> "hardLimit":0: settings: profile "read": invalid hardLimit
+	// "hardLimit":400000 -> "hardLimit":-5: settings: profile "read": invalid hardLimit
 	// "hardLimit":400000 -> "hardLimit":NaN: invalid character 'N' looking for beginning of value
 	// "hardLimit":400000 -> "hardLimit":9e15: settings: json: cannot unmarshal number 9e15 into Go struct field .profiles.hardLimit of type int64
-	// "hardLimit":400000 -> "hardLimit":9000000000000000: settings: profile "read": hardLimit
-	// "serviceGoal":200000 -> "serviceGoal":null: settings: profile "read": serviceGoal
+	// "hardLimit":400000 -> "hardLimit":9000000000000000: settings: profile "read": invalid hardLimit
+	// "serviceGoal":200000 -> "serviceGoal":null: settings: profile "read": invalid serviceGoal
 	// "effect":"idempotent" -> "effect":"twice": settings: profile read: unknown effect "twice"
 	// "effect":"idempotent" -> "effect":"deduplicated": settings: profile read: unknown group ""
-	// "name":"pay" -> "name":"read": settings: profile "read": name
-	// "revenue":1 -> "revenue":-1: settings: profile "read": revenue
+	// "name":"pay" -> "name":"read": settings: profile "read": invalid name
+	// "revenue":1 -> "revenue":-1: settings: profile "read": invalid revenue
 	// "me":0 -> "me":1: settings: me: cannot change without a restart
-	// "profiles":[ -> "profiles":[],"was":[: settings: profiles: none
+	// "profiles":[ -> "profiles":[],"was":[: settings: profiles: empty
 }
 
 // Settings that older files leave out are optional; an invalid value is rejected with an error that names its key.
@@ -91,23 +91,23 @@
 		}
 	}
 	// Output:
-	// -1 -> settings: obligations.closeOnDrainWithin: -1
-	// 9000000000000000 -> settings: obligations.closeOnDrainWithin: 9000000000000000
+	// -1 -> settings: obligations.closeOnDrainWithin: -1 is out of range
+	// 9000000000000000 -> settings: obligations.closeOnDrainWithin: 9000000000000000 is out of range
 	// true -> settings: json: cannot unmarshal bool into Go struct field .obligations.closeOnDrainWithin of type int64
 	// "2" -> settings: json: cannot unmarshal string into Go struct field .obligations.closeOnDrainWithin of type int64
-	// -1 -> settings: obligations.budgetError: -1
-	// 9000000000000000 -> settings: obligations.budgetError: 9000000000000000
+	// -1 -> settings: obligations.budgetError: -1 is out of range
+	// 9000000000000000 -> settings: obligations.budgetError: 9000000000000000 is out of range
 	// true -> settings: json: cannot unmarshal bool into Go struct field .obligations.budgetError of type int64
 	// "2" -> settings: json: cannot unmarshal string into Go struct field .obligations.budgetError of type int64
-	// -1 -> settings: obligations.startError: -1
-	// 9000000000000000 -> settings: obligations.startError: 9000000000000000
+	// -1 -> settings: obligations.startError: -1 is out of range
+	// 9000000000000000 -> settings: obligations.startError: 9000000000000000 is out of range
 	// true -> settings: json: cannot unmarshal bool into Go struct field .obligations.startError of type int64
 	// "2" -> settings: json: cannot unmarshal string into Go struct field .obligations.startError of type int64
 	// 1 -> settings: json: cannot unmarshal number into Go struct field .obligations.onlyDrainingBinds of type bool
 	// -1 -> settings: json: cannot unmarshal number into Go struct field .obligations.onlyDrainingBinds of type bool
 	// 9000000000000000 -> settings: json: cannot unmarshal number into Go struct field .obligations.onlyDrainingBinds of type bool
 	// "2" -> settings: json: cannot unmarshal string into Go struct field .obligations.onlyDrainingBinds of type bool
-	// -1 -> settings: limits.responseRoom: -1
+	// -1 -> settings: limits.responseRoom: -1 is out of range
 	// true -> settings: json: cannot unmarshal bool into Go struct field .limits.responseRoom of type int
 	// "2" -> settings: json: cannot unmarshal string into Go struct field .limits.responseRoom of type int
 }
--- a/internal/invariant/panic_release.go
+++ b/internal/invariant/panic_release.go
@@ -2,4 +2,5 @@
 
 package invariant
 
+// panicOnViolation is true in builds with the tag debug.
 const panicOnViolation = false
--- a/internal/simwire/actions.go
+++ b/internal/simwire/actions.go
@@ -25,11 +25,13 @@
 	a.out.WriteString(a.instanceName)
 }
 
+// writeInt writes an argument of the action.
 func (a *actionWriter) writeInt(n int64) {
 	a.out.WriteByte(' ')
 	a.out.Write(strconv.AppendInt(a.out.AvailableBuffer(), n, 10))
 }
 
+// writeText writes an argument of the action, without quoting.
 func (a *actionWriter) writeText(text string) {
 	a.out.WriteByte(' ')
 	a.out.WriteString(text)
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -76,6 +76,7 @@
 	err  error
 }
 
+// nextField returns the next field and fails if there is none.
 func (p *lineParser) nextField() []byte {
 	if p.rest == nil {
 		p.fail("too few fields")
@@ -89,6 +90,7 @@
 	return field
 }
 
+// fail keeps the error unless there is one already.
 func (p *lineParser) fail(format string, args ...any) {
 	if p.err == nil {
 		p.err = fmt.Errorf(format, args...)
@@ -379,6 +381,7 @@
 	return name
 }
 
+// checkHostState returns an error for a number that is no host state.
 func checkHostState(state int64) error {
 	if state < 0 || state > 2 {
 		return fmt.Errorf("unknown state %d", state)
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -7,11 +7,13 @@
 	"strings"
 )
 
+// testSettings replaces SETTINGS in the lines of the examples.
 const testSettings = `{"balancers":2,"dcs":["a"],"myZone":"a","discovery":"subscribe",` +
 	`"limits":{"mostHops":3,"mayTell":true,"cancelling":true,"retryAfter":true,"maxRetryAfter":500000},` +
 	`"obligations":{"askWithin":1000000,"warmUp":8000000,"coldFrom":0.3,"fallMultiple":4,"tipAfter":1000000},` +
 	`"profiles":[{"name":"pay","effect":"at_most_once","serviceGoal":400000,"revenue":1,"news":[]}],"extra":{}}`
 
+// serveLines has Serve read the lines, and prints its error if there is one.
 func serveLines(out io.Writer, lines ...string) {
 	text := strings.ReplaceAll(strings.Join(lines, "\n")+"\n", "SETTINGS", testSettings)
 	if err := Serve(strings.NewReader(text), out); err != nil {
