--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -7,21 +7,23 @@
 	"strings"
 )
 
-const settings = `{"balancers":2,"dcs":["a"],"myZone":"a","discovery":"subscribe",` +
+// testSettings replaces SETTINGS in the lines of the examples.
+const testSettings = `{"balancers":2,"dcs":["a"],"myZone":"a","discovery":"subscribe",` +
 	`"limits":{"mostHops":3,"mayTell":true,"cancelling":true,"retryAfter":true,"maxRetryAfter":500000},` +
 	`"obligations":{"askWithin":1000000,"warmUp":8000000,"coldFrom":0.3,"fallMultiple":4,"tipAfter":1000000},` +
 	`"profiles":[{"name":"pay","effect":"at_most_once","serviceGoal":400000,"revenue":1,"news":[]}],"extra":{}}`
 
-func play(out io.Writer, lines ...string) {
-	text := strings.ReplaceAll(strings.Join(lines, "\n")+"\n", "SETTINGS", settings)
+// serveLines has Serve read the lines, and prints its error if there is one.
+func serveLines(out io.Writer, lines ...string) {
+	text := strings.ReplaceAll(strings.Join(lines, "\n")+"\n", "SETTINGS", testSettings)
 	if err := Serve(strings.NewReader(text), out); err != nil {
 		fmt.Println("error:", err)
 	}
 }
 
-// A batch of every common event, and its reply; an instance that is killed and started again knows nothing.
+// Batches with every common event, and the replies. An instance that is retired and opened again has lost its state.
 func ExampleServe() {
-	play(os.Stdout, "round 1000000", "open_instance gateway/0 5 SETTINGS",
+	serveLines(os.Stdout, "round 1000000", "open_instance gateway/0 5 SETTINGS",
 		"peers_known gateway/0 0 1 1", "m 17 a box 0 1 1 -", "end",
 		"round 2000000",
 		"ingress gateway/0 7 1 - - 900000 - pay",
@@ -54,36 +56,36 @@
 	// done
 }
 
-// What is malformed ends the run with its line and a plain word on what is wrong.
+// Malformed input ends Serve with an error that gives the line and what is wrong.
 func ExampleServe_malformed() {
-	open := "open_instance gateway/0 5 SETTINGS"
+	openInstance := "open_instance gateway/0 5 SETTINGS"
 	for _, lines := range [][]string{
 		{"round 1", "timeout_fired gateway/0 1", "end"},
 		{"round 1", "open_instance gateway/0 5 {\"balancers\":\"two\"}", "end"},
 		{"round 1", "open_instance gateway/0 5 {\"profiles\":[{\"name\":\"x\",\"effect\":\"twice\"}]}", "end"},
 		{"round soon"}, {"timeout_fired gateway/0 1"},
-		{"round 1", open, "ingress gateway/0 7", "end"},
-		{"round 1", open, "response gateway/0 7 0 17 lost 1 0 -", "end"},
-		{"round 1", open, "response gateway/0 7 0 17 pass 1 1 rif:many", "end"},
-		{"round 1", open, "peers_known gateway/0 1 1 1", "m 17 a box 0 7 1 -", "end"},
-		{"round 1", open, "whisper gateway/0 1 11zz", "end"}, {"round 1", open, "whisper gateway/0 2 -", "end"},
-		{"round 1", open, "whisper gateway/0 1 1100000002ff00000000", "end"},
+		{"round 1", openInstance, "ingress gateway/0 7", "end"},
+		{"round 1", openInstance, "response gateway/0 7 0 17 lost 1 0 -", "end"},
+		{"round 1", openInstance, "response gateway/0 7 0 17 pass 1 1 rif:many", "end"},
+		{"round 1", openInstance, "peers_known gateway/0 1 1 1", "m 17 a box 0 7 1 -", "end"},
+		{"round 1", openInstance, "whisper gateway/0 1 11zz", "end"}, {"round 1", openInstance, "whisper gateway/0 2 -", "end"},
+		{"round 1", openInstance, "whisper gateway/0 1 1100000002ff00000000", "end"},
 		{"round 1"},
 	} {
-		play(io.Discard, lines...)
+		serveLines(io.Discard, lines...)
 	}
 	// Output:
-	// error: line 2: timeout_fired for "gateway/0", which has not started
+	// error: line 2: timeout_fired for instance "gateway/0", which is not open
 	// error: line 2: settings: json: cannot unmarshal string into Go struct field settings.balancers of type int
 	// error: line 2: settings: profile x: unknown effect "twice"
-	// error: line 1: "soon" is not a whole number
+	// error: line 1: "soon" is not an integer
 	// error: line 1: event "timeout_fired" outside a batch
-	// error: line 3: ingress: too few values
+	// error: line 3: ingress: too few fields
 	// error: line 3: response: unknown outcome "lost"
 	// error: line 3: response: "rif:many" is not a load report
 	// error: line 4: peers_known: entry "m 17 a box 0 7 1 -": unknown state 7
 	// error: line 3: whisper: message: encoding/hex: invalid byte: U+007A 'z'
-	// error: line 3: whisper: no gateway 2
-	// error: line 3: whisper: message: unknown kind 7 or end 7
-	// error: line 2: the input ends within a batch
+	// error: line 3: whisper: unknown gateway 2
+	// error: line 3: whisper: message: unknown kind 7 or outcome 7
+	// error: line 2: unexpected end of input in a batch
 }
