--- a/cmd/spanmux/largefleet_test.go
+++ b/cmd/spanmux/largefleet_test.go
@@ -101,7 +101,7 @@
 		}
 		addrs = append(addrs, c.LocalAddr().String())
 		if i == 0 {
-			c.Close()
+			defer c.Close() // once the others are open: closed before, its port may become one of theirs
 			continue
 		}
 		t.Cleanup(func() { c.Close() })
