--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -64,7 +64,7 @@
 			return
 		}
 		if err != nil {
-			slog.Warn("accept at the door", "error", err)
+			slog.Warn("admin server: accept failed", "error", err)
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
--- a/internal/routing/admit.go
+++ b/internal/routing/admit.go
@@ -45,7 +45,7 @@
 		return false
 	}
 	if !d.startTransaction(t, profileIndex, max(t.request.Budget-responseTimeReserve, time.Millisecond)) {
-		d.Counters.recordInvalidInput("id of a transaction that is open", slog.String("trace", t.request.TraceID))
+		d.Counters.recordInvalidInput("trace id of an open transaction", slog.String("trace", t.request.TraceID))
 		t.counters.aborted.Add(1)
 		t.client.WriteFinal(protocol.TextResponse(409, "its id is that of another\n", 0, true))
 		return false
--- a/internal/routing/counters.go
+++ b/internal/routing/counters.go
@@ -109,7 +109,7 @@
 	metrics.Discovered, metrics.Ejected = len(d.discovery.addrByID), d.core.AvoidedHosts()
 	d.mu.Unlock()
 	text, err := json.Marshal(metrics)
-	invariant.Check(err == nil, "figures can be written")
+	invariant.Check(err == nil, "metrics can be encoded")
 	return text
 }
 
@@ -117,7 +117,7 @@
 func (c *Counters) recordInvalidInput(reason string, attrs ...any) {
 	c.InvalidInputs.Add(1)
 	if c.warningLimiter.allow() {
-		slog.Warn("wrong input", append([]any{"what", reason}, attrs...)...)
+		slog.Warn("invalid input", append([]any{"reason", reason}, attrs...)...)
 	}
 }
 
--- a/internal/routing/discovery.go
+++ b/internal/routing/discovery.go
@@ -170,7 +170,7 @@
 			d.discovery.watching = !stop
 			d.Counters.ListCallsFailed.Add(1)
 			if d.Counters.warningLimiter.allow() {
-				d.afterUnlock(func() { slog.Warn("list lost", "error", err) })
+				d.afterUnlock(func() { slog.Warn("call for the host list failed", "error", err) })
 			}
 			if stop {
 				d.discovery.backoffTimer.Reset(listBackoff(elapsed, d.discovery.random.Float64()))
@@ -204,7 +204,7 @@
 	err = conn.RoundTrip(protocol.EncodeGet(path, conn.Addr), timeout, func(r *bufio.Reader) (bool, error) {
 		body, status, keep, err := protocol.ReadHostList(r)
 		if err == nil && status != 200 {
-			err = fmt.Errorf("discovery answers %d", status)
+			err = fmt.Errorf("discovery answered with status %d", status)
 		}
 		if err == nil {
 			list, err = protocol.ParseHostList(body)
@@ -237,7 +237,7 @@
 			entry := &list.Hosts[i]
 			id, ok := d.discovery.hostIDFor(entry.UID)
 			if !ok {
-				d.afterUnlock(func() { slog.Error("two hosts with one number: left out", "uid", entry.UID, "number", id) })
+				d.afterUnlock(func() { slog.Error("host ignored: its id is that of another host", "uid", entry.UID, "id", id) })
 				continue
 			}
 			host := entry.Host(id, d.coreClockTime)
@@ -258,7 +258,7 @@
 		targetsAfter := d.discovery.targets()
 		d.afterUnlock(func() {
 			if kind != logic.ListChanges || len(list.Hosts) > 0 {
-				slog.Info("list", "rev", list.Revision, "whole", kind != logic.ListChanges, "entries", len(list.Hosts))
+				slog.Info("host list received", "revision", list.Revision, "full", kind != logic.ListChanges, "entries", len(list.Hosts))
 			}
 			for target := range targetsBefore { // the order doesn't matter
 				if !targetsAfter[target] {
--- a/internal/routing/dispatcher.go
+++ b/internal/routing/dispatcher.go
@@ -108,7 +108,7 @@
 // the lock.
 func (d *Dispatcher) callCore(call func(now time.Duration)) {
 	d.mu.Lock()
-	invariant.Check(!d.inCore, "the module is not called from within")
+	invariant.Check(!d.inCore, "no reentrant call of the decision core")
 	d.inCore = true
 	call(d.now())
 	d.inCore = false
@@ -193,6 +193,6 @@
 // Log logs a message of the decision core, within a rate limit.
 func (d *Dispatcher) Log(message string) {
 	if d.Counters.coreLogLimiter.allow() {
-		d.afterUnlock(func() { slog.Info("module", "says", message) })
+		d.afterUnlock(func() { slog.Info("decision core", "message", message) })
 	}
 }
--- a/internal/routing/handover.go
+++ b/internal/routing/handover.go
@@ -205,8 +205,8 @@
 		return
 	}
 	remaining, known := s.body.Remaining()
-	slog.Warn("answer broken off", "error", err, "trace", s.traceID, "after", time.Since(s.startedAt), "adopted", adopted, "left", remaining,
-		"of all", known, "ahead", len(s.readAhead), "drains", d.hostDraining(s.hostID))
+	slog.Warn("streamed response broken off", "error", err, "trace", s.traceID, "after", time.Since(s.startedAt), "adopted", adopted, "remaining", remaining,
+		"length_known", known, "read_ahead", len(s.readAhead), "host_draining", d.hostDraining(s.hostID))
 }
 
 // trackStream adds a response to those being streamed, or removes it.
@@ -239,7 +239,7 @@
 // rejects transactions that the hosts could serve.
 func (d *Dispatcher) ListenForHandover(path string) error {
 	query, err := json.Marshal(handoverRecord{RequestsLearnedState: true})
-	invariant.Check(err == nil, "a note can be written")
+	invariant.Check(err == nil, "handover record can be encoded")
 	if reply := transport.QueryProcess(path, query); json.Unmarshal(reply, &d.predecessor.state) == nil {
 		d.predecessor.receivedAt = time.Now()
 	}
@@ -288,7 +288,7 @@
 		body = record.Body.Resume(conns[1])
 	}
 	if body == nil || record.Framing < protocol.FramingLength || record.Framing > protocol.FramingClose {
-		slog.Warn("handed over, and not understood", "connections", len(conns), "error", err)
+		slog.Warn("invalid handover record", "connections", len(conns), "error", err)
 		for _, conn := range conns {
 			conn.Close()
 		}
@@ -325,7 +325,7 @@
 	state := d.core.ExportLearned(d.now())
 	d.mu.Unlock()
 	text, err := json.Marshal(state)
-	invariant.Check(err == nil, "what was learnt can be written")
+	invariant.Check(err == nil, "learned state can be encoded")
 	return text
 }
 
--- a/internal/routing/peers.go
+++ b/internal/routing/peers.go
@@ -34,7 +34,7 @@
 	d.Counters.PickRequests.Add(countEntries(entries, logic.EntryPickRequest))
 	socket := d.peers.socket
 	for msg := range d.core.EncodePeerMessages(entries) {
-		invariant.Check(len(msg) <= config.MaxPeerMessageBytes, "a datagram within its bound")
+		invariant.Check(len(msg) <= config.MaxPeerMessageBytes, "peer message within its size limit")
 		for _, addr := range addrs {
 			d.Counters.PeerMessages.Add(1)
 			d.afterUnlock(func() { d.sendDatagram(socket, addr, msg) })
@@ -57,7 +57,7 @@
 	if err := socket.Send(addr, msg); err != nil {
 		d.Counters.PeerMessagesUnsent.Add(1)
 		if d.Counters.warningLimiter.allow() {
-			slog.Warn("not told", "to", addr, "error", err)
+			slog.Warn("peer message not sent", "to", addr, "error", err)
 		}
 	}
 }
@@ -75,7 +75,7 @@
 	if !known || err != nil || len(msg) > config.MaxPeerMessageBytes {
 		d.Counters.PeerMessagesInvalid.Add(1)
 		if d.Counters.warningLimiter.allow() {
-			slog.Warn("datagram dropped", "from", addr, "known", known, "bytes", len(msg), "error", err)
+			slog.Warn("invalid peer message dropped", "from", addr, "known", known, "bytes", len(msg), "error", err)
 		}
 		return
 	}
--- a/internal/routing/relay.go
+++ b/internal/routing/relay.go
@@ -70,7 +70,7 @@
 		default:
 			d.respond(tx, &d.Counters.Declined, h.response.Status, h.response.EncodeForClient)
 			d.afterUnlock(func() {
-				d.Counters.recordInvalidInput("declined by its host", slog.Int("status", h.response.Status), slog.String("trace", tx.request.TraceID))
+				d.Counters.recordInvalidInput("request declined by its host", slog.Int("status", h.response.Status), slog.String("trace", tx.request.TraceID))
 			})
 		}
 		d.core.HopEnded(now, tx.id, h.index, logic.HopResult{Outcome: outcome, Latency: time.Since(h.sentAt) - h.exchange.SlotWait, Load: load}, tx.answered)
@@ -94,7 +94,7 @@
 
 // respond sends a transaction's one final response. It is written outside the lock.
 func (d *Dispatcher) respond(t *tx, counter *counter, status int, encode func(closing bool) net.Buffers) {
-	invariant.Check(t != nil && !t.answered, "one final answer")
+	invariant.Check(t != nil && !t.answered, "one final response per transaction")
 	if t == nil || t.answered {
 		return
 	}
@@ -131,8 +131,8 @@
 }
 
 var (
-	errNoLongerWanted        = errors.New("nobody waits for the answer")
-	errResponseBeforeRequest = errors.New("answered before it had the message") // by its host, or to another request
+	errNoLongerWanted        = errors.New("client no longer waits for the response")
+	errResponseBeforeRequest = errors.New("response before the end of the request") // by its host, or to another request
 )
 
 // streamResponse passes on a response over the usual size as it comes; its head is valid. From here on
--- a/internal/routing/run.go
+++ b/internal/routing/run.go
@@ -63,7 +63,7 @@
 		}
 	}
 	if len(network.addrs) != d.core.GatewayCount {
-		return fmt.Errorf("%d peers for %d gateways", len(network.addrs), d.core.GatewayCount)
+		return fmt.Errorf("%d peer addresses for %d gateways", len(network.addrs), d.core.GatewayCount)
 	}
 	if broadcast != "" {
 		if network.broadcastAddr, err = netip.ParseAddrPort(broadcast); err != nil {
@@ -71,7 +71,7 @@
 		}
 	}
 	if network.socket, err = transport.ListenDatagrams(listen, len(network.otherAddrs)); errors.Is(err, syscall.EADDRINUSE) {
-		slog.Warn("tells other gateways once the address is free", "at", listen)
+		slog.Warn("address for peer messages is in use, retrying", "address", listen)
 		go d.joinWhenAddressFree(listen, network)
 		return nil
 	}
@@ -170,7 +170,7 @@
 		return draining
 	}
 	d.listener.SetDraining(draining)
-	slog.Info("told by operators", "drain", draining)
+	slog.Info("draining changed by operator", "draining", draining)
 	return true
 }
 
@@ -199,7 +199,7 @@
 	for rejected := false; !d.listener.Finished(); time.Sleep(shutdownPollInterval) {
 		switch now := time.Now(); {
 		case now.After(deadline):
-			slog.Warn("ends with clients unanswered", "clients", d.listener.OpenClients())
+			slog.Warn("shutdown timed out with open client connections", "clients", d.listener.OpenClients())
 			return
 		case rejected:
 			d.abandonOpen()
