--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -18,9 +18,9 @@
 
 // Gateway is what the admin API reads and controls.
 type Gateway interface {
-	Ready() bool                // it accepts clients
-	MetricsJSON() []byte        // its figures, as JSON
-	SetDraining(away bool) bool // sends clients away, or accepts them again; false if it can't
+	Ready() bool                    // it accepts clients
+	MetricsJSON() []byte            // its figures, as JSON
+	SetDraining(draining bool) bool // sends clients away, or accepts them again; false if it can't
 }
 
 // AdminServer serves the admin API.
--- a/internal/routing/bounds.go
+++ b/internal/routing/bounds.go
@@ -20,13 +20,13 @@
 	defaultMaxListPollInterval = 10 * time.Second
 
 	// listWatchDuration is how long discovery may hold a watch call; one that has fallen silent is noticed no sooner.
-	// With listWatchGrace and the queue before the next answer, 2 s, it makes up the 6 s within which a change of the
+	// With listWatchMargin and the queue before the next answer, 2 s, it makes up the 6 s within which a change of the
 	// list has to be known.
 	listWatchDuration = 3 * time.Second
 
-	// listWatchGrace is added to listWatchDuration before a watch call counts as failed: its answer may queue at
+	// listWatchMargin is added to listWatchDuration before a watch call counts as failed: its answer may queue at
 	// discovery for part of it.
-	listWatchGrace = time.Second
+	listWatchMargin = time.Second
 
 	// listCallTimeout is the timeout of a call that discovery does not hold. Discovery answers calls in turn and its
 	// full queue is 2 s long: with a shorter timeout none of a full queue's calls would be answered.
--- a/internal/routing/discovery.go
+++ b/internal/routing/discovery.go
@@ -126,9 +126,9 @@
 func (d *Dispatcher) watchList(conn *transport.DiscoveryConn) {
 	for retried := false; ; {
 		d.mu.Lock()
-		path, wait, grace, current, revision := protocol.HostListPath, time.Duration(0), listCallTimeout, d.discovery.conn == conn, d.discovery.revision
+		path, wait, margin, current, revision := protocol.HostListPath, time.Duration(0), listCallTimeout, d.discovery.conn == conn, d.discovery.revision
 		if d.discovery.hasList {
-			wait, grace = listWatchDuration, listWatchGrace
+			wait, margin = listWatchDuration, listWatchMargin
 			path = protocol.WatchTarget(d.discovery.revision, wait)
 		}
 		d.mu.Unlock()
@@ -136,7 +136,7 @@
 			return
 		}
 		calledAt := time.Now()
-		list, err := d.fetchList(conn, path, wait+grace)
+		list, err := d.fetchList(conn, path, wait+margin)
 		if retried = err != nil && !retried && wait > 0 && wasInterrupted(err); retried {
 			d.Counters.ListCallsRetried.Add(1)
 			continue
--- a/internal/routing/list_propagation_test.go
+++ b/internal/routing/list_propagation_test.go
@@ -98,7 +98,7 @@
 	call := w.call
 	w.startedAt, w.waiting = f.now, false
 	f.calls = append(f.calls, f.now)
-	f.schedule(listWatchDuration+listWatchGrace, func() { w.callFailed(call, true) })
+	f.schedule(listWatchDuration+listWatchMargin, func() { w.callFailed(call, true) })
 	switch {
 	case f.failureMode == "silent":
 		return
@@ -264,8 +264,8 @@
 
 // Whatever way a call ends, and however long it was out, the next begins within 4 s of its beginning; the answer's queue makes it 6 s.
 func Example_listPropagationBound() {
-	longest := listWatchDuration + listWatchGrace
-	for elapsed := time.Duration(0); elapsed <= max(listWatchDuration+listWatchGrace, listCallTimeout, 2*time.Second); elapsed += time.Millisecond { // 2 s: a connection that never comes up
+	longest := listWatchDuration + listWatchMargin
+	for elapsed := time.Duration(0); elapsed <= max(listWatchDuration+listWatchMargin, listCallTimeout, 2*time.Second); elapsed += time.Millisecond { // 2 s: a connection that never comes up
 		longest = max(longest, elapsed+listBackoff(elapsed, 0.999999))
 		if elapsed+listBackoff(elapsed, 0) < minListBackoff {
 			fmt.Println("too soon:", elapsed)
--- a/internal/routing/relay.go
+++ b/internal/routing/relay.go
@@ -59,22 +59,22 @@
 		return
 	}
 	d.callCore(func(now time.Duration) {
-		tx := h.tx
-		tx.hopsInFlight--
+		t := h.tx
+		t.hopsInFlight--
 		d.closeIdleIfGone(h.target)
 		d.Counters.HopOutcomes[outcome].Add(1)
 		switch {
-		case tx.answered || outcome != logic.HopCommitted && outcome != logic.HopNotSent:
+		case t.answered || outcome != logic.HopCommitted && outcome != logic.HopNotSent:
 		case outcome == logic.HopCommitted:
-			d.respond(tx, &d.Counters.Committed, 200, h.response.EncodeForClient)
+			d.respond(t, &d.Counters.Committed, 200, h.response.EncodeForClient)
 		default:
-			d.respond(tx, &d.Counters.Declined, h.response.Status, h.response.EncodeForClient)
+			d.respond(t, &d.Counters.Declined, h.response.Status, h.response.EncodeForClient)
 			d.afterUnlock(func() {
-				d.Counters.recordInvalidInput("request declined by its host", slog.Int("status", h.response.Status), slog.String("trace", tx.request.TraceID))
+				d.Counters.recordInvalidInput("request declined by its host", slog.Int("status", h.response.Status), slog.String("trace", t.request.TraceID))
 			})
 		}
-		d.core.HopEnded(now, tx.id, h.index, logic.HopResult{Outcome: outcome, Latency: time.Since(h.sentAt) - h.exchange.SlotWait, Load: load}, tx.answered)
-		d.removeIfFinished(tx)
+		d.core.HopEnded(now, t.id, h.index, logic.HopResult{Outcome: outcome, Latency: time.Since(h.sentAt) - h.exchange.SlotWait, Load: load}, t.answered)
+		d.removeIfFinished(t)
 	})
 }
 
--- a/internal/routing/send.go
+++ b/internal/routing/send.go
@@ -57,7 +57,7 @@
 		OnDone: func(outcome transport.Outcome) { d.hopEnded(h, outcome) },
 	}
 	if t.request.RemainingBody != nil {
-		h.exchange.StreamBody = func(reader *transport.BodyWriter) bool { return d.offerBodyWriter(h, reader, timeout) }
+		h.exchange.StreamBody = func(writer *transport.BodyWriter) bool { return d.offerBodyWriter(h, writer, timeout) }
 	}
 	d.Counters.Hops.Add(1)
 	d.startExchange(h.target, h.exchange, len(t.request.Body) > protocol.MaxBufferedBodyBytes)
