--- a/internal/control/server_test.go
+++ b/internal/control/server_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// stubGateway is a gateway that is told.
+// stubGateway is a gateway that only records whether it drains.
 type stubGateway struct{ draining atomic.Bool }
 
 func (s *stubGateway) Ready() bool         { return !s.draining.Load() }
@@ -49,7 +49,8 @@
 	}
 }
 
-// Each call gets one answer, sensible also where it is repeated, unknown, comes in another way or can't be read.
+// Each request gets one sensible response, also if it is repeated, unknown, has the wrong method or is
+// malformed.
 func ExampleAdminServer() {
 	server, call := startTestServer()
 	defer server.Close()
@@ -82,7 +83,7 @@
 	// yes: 8 other: 8
 }
 
-// Callers that say nothing, or half a call, keep no call out, however many they are.
+// Connections that send nothing, or half a request, don't keep a request out, however many they are.
 func ExampleAdminServer_silent() {
 	server, call := startTestServer()
 	defer server.Close()
--- a/internal/routing/client_leaves_test.go
+++ b/internal/routing/client_leaves_test.go
@@ -18,31 +18,33 @@
 	"spanmux/logic"
 )
 
-// maxHopStartAfterClose is the bound on all that is below: no hop of a transaction, the first or a further one, begins later than that after its client
-// has closed.
+// maxHopStartAfterClose bounds the tests below: no hop of a transaction, first or further, starts
+// later than this after its client has closed.
 const maxHopStartAfterClose = 100 * time.Millisecond
 
-// leavingClients are many clients of one gateway, each with a transaction, that leave together, and what hosts see of these.
+// leavingClients are clients of one gateway, each with a transaction, that leave together, and what
+// the hosts see of them.
 type leavingClients struct {
 	*testGateway
 	count        int
-	waiting      int64 // of them, those whose transactions wait: some the module rolls back at once
-	heldDials    int   // hops
+	waiting      int64 // clients whose transactions wait; the core rolls some back at once
+	heldDials    int   // hops whose connections are held back
 	conns        []*clientConn
-	closedAt     time.Time     // when the last of them had closed
-	noticedAfter time.Duration // from then until the gateway knows of all
-	dials, gate  chan bool     // connections to hosts come up as the gate lets them
-	holdsHosts   atomic.Bool   // hosts wait before they turn a transaction away
-	release      chan bool     // closed as they go on
+	closedAt     time.Time     // when the last client had closed
+	noticedAfter time.Duration // time from closedAt until the gateway has noticed all
+	dials, gate  chan bool     // connections to hosts come up as gate allows
+	holdsHosts   atomic.Bool   // hosts wait, then reject the transaction
+	release      chan bool     // closed to let them continue
 
 	writers sync.WaitGroup
-	modes   []string // in which they leave, by turns
+	modes   []string // how clients leave, in turn
 
 	hopsMu     sync.Mutex
-	hopStarted map[string]time.Time // by transaction: the first byte of its last hop
+	hopStarted map[string]time.Time // by trace ID: arrival of the first byte of the last hop
 }
 
-// newLeavingClients has a gateway with a host or two that note when hops begin; it changes the usual settings by pairs of old and new.
+// newLeavingClients returns clients of a gateway whose hosts record when hops start. replacements are
+// pairs of old and new text in the settings.
 func newLeavingClients(count, hosts int, cancelling, gated bool, replacements ...string) *leavingClients {
 	replacements = append([]string{`"cancelling":true`, fmt.Sprintf(`"cancelling":%t`, cancelling), `"connectTimeout":200000`, `"connectTimeout":1900000`}, replacements...)
 	l := &leavingClients{testGateway: newTestGatewayWith(strings.NewReplacer(replacements...).Replace(testSettings)), count: count, modes: []string{"closes", "resets", "halves"}, hopStarted: map[string]time.Time{}, release: make(chan bool),
@@ -87,7 +89,7 @@
 				if err != nil {
 					return
 				}
-				if id := request.Header.Get("X-Trace-Id"); id != "" { // else it asks for the load
+				if id := request.Header.Get("X-Trace-Id"); id != "" { // otherwise it is a probe
 					l.hopsMu.Lock()
 					l.hopStarted[id] = startedAt
 					l.hopsMu.Unlock()
@@ -106,7 +108,7 @@
 	}
 }
 
-// sendRequests has each client send what the function gives; more than sockets hold is sent as it is taken.
+// sendRequests has each client send its text; long texts are written in the background.
 func (l *leavingClients) sendRequests(text func(id string) string) {
 	for i := range l.count {
 		c := l.dial()
@@ -119,7 +121,7 @@
 	}
 }
 
-// waitUntilSent waits until all of that is sent, or can't be: then no more is taken.
+// waitUntilSent waits until everything is written, or until nothing more can be.
 func (l *leavingClients) waitUntilSent() {
 	done := make(chan bool)
 	go func() { l.writers.Wait(); close(done) }()
@@ -129,7 +131,8 @@
 	}
 }
 
-// closeAll has all clients leave, by turns in each way, and waits until the gateway knows and the time is over after which no hop may begin.
+// closeAll makes all clients leave, in each mode in turn, and waits until the gateway has noticed and
+// until no hop may start any more.
 func (l *leavingClients) closeAll() {
 	if l.waiting == 0 {
 		l.waiting = l.Counters.OpenTransactions.Load()
@@ -143,7 +146,7 @@
 	time.Sleep(time.Until(l.closedAt.Add(maxHopStartAfterClose)))
 }
 
-// lateHops is how many hops began too late.
+// lateHops returns how many hops started too late, or -1 if a wait timed out.
 func (l *leavingClients) lateHops() (late int) {
 	l.waitFor("none out", func() bool { l.Dispatcher.mu.Lock(); defer l.Dispatcher.mu.Unlock(); return len(l.txs) == 0 })
 	l.hopsMu.Lock()
@@ -162,26 +165,27 @@
 
 func payRequest(id string) string { return requestText("pay", id, "") }
 
-// partialPayRequest is a transaction of which so much has come, and more is to come.
+// partialPayRequest is a request of which that many bytes of the body have been sent, and more are
+// due.
 func partialPayRequest(id string, received int) string {
 	return strings.Replace(payRequest(id), "Length: 2", "Length: 8000000", 1) + strings.Repeat("a", received)
 }
 
-// releaseDials lets connections up, or fail, that are waited for.
+// releaseDials makes the held connections come up, or fail.
 func (l *leavingClients) releaseDials(succeed bool) {
 	for range l.heldDials {
 		l.gate <- succeed
 	}
 }
 
-// waitForDials waits until all are taken, and connections for their hops are waited for.
+// waitForDials waits until all transactions are admitted and their hops wait for connections.
 func (l *leavingClients) waitForDials() {
 	l.waitForAdmission()
 	l.heldDials = int(l.Counters.Hops.Load())
 	l.waitFor("connections waited for", func() bool { return len(l.dials) == l.heldDials })
 }
 
-// waitForHops waits until all are taken, and their hops have come to a host.
+// waitForHops waits until all transactions are admitted and their hops have arrived at hosts.
 func (l *leavingClients) waitForHops() {
 	l.waitForAdmission()
 	hops := int(l.Counters.Hops.Load())
@@ -190,10 +194,10 @@
 
 func (l *leavingClients) waitForAdmission() {
 	l.waitFor("taken", func() bool { return l.Counters.Admitted.Load() >= int64(l.count) })
-	l.callCore(func(time.Duration) {}) // what came with the last one is done
+	l.callCore(func(time.Duration) {}) // waits for the call that admitted the last one
 }
 
-// leaveScenarios are where a transaction may wait as its client leaves; each plays one such, with so many clients.
+// leaveScenarios are the places where a transaction may wait when its client leaves.
 var leaveScenarios = []struct {
 	name string
 	run  func(size int, cancelling bool) *leavingClients
@@ -245,7 +249,7 @@
 	}},
 	{"body half come", func(size int, cancelling bool) *leavingClients {
 		l := newLeavingClients(size, size, cancelling, true)
-		l.bodyBudget.Store(0) // no room to hold any
+		l.bodyBudget.Store(0) // no budget to hold any body
 		l.sendRequests(func(id string) string { return partialPayRequest(id, 30_000) })
 		l.waitForDials()
 		l.closeAll()
@@ -264,27 +268,27 @@
 		return l
 	}},
 	{"body half come, its host takes none", func(size int, cancelling bool) *leavingClients {
-		l := newLeavingClients(size/6, size, cancelling, false) // few: each binds megabytes of the machine's
+		l := newLeavingClients(size/6, size, cancelling, false) // few: each takes megabytes of socket buffers
 		l.bodyBudget.Store(0)
-		l.holdsHosts.Store(true) // till then no host reads on
+		l.holdsHosts.Store(true) // no host reads the body before release
 		l.sendRequests(func(id string) string { return partialPayRequest(id, 3_000_000) })
 		l.waitForHops()
 		l.waitUntilSent()
-		l.modes = []string{"resets"} // another end stands behind what no socket takes
+		l.modes = []string{"resets"} // any other close is queued behind unsent data
 		l.closeAll()
 		close(l.release)
 		return l
 	}},
 	{"asked of another gateway", func(size int, cancelling bool) *leavingClients {
 		l := newLeavingClients(size, size, cancelling, false, `"balancers":2`, `"me":1,"balancers":21`)
-		l.callCore(func(time.Duration) { // from here on the module's time goes on as the test has it
+		l.callCore(func(time.Duration) { // from here on the test runs the core's timer
 			l.timer.Stop()
 			l.timer = time.AfterFunc(time.Hour, func() {})
 		})
 		l.sendRequests(payRequest)
 		l.waitForAdmission()
 		l.closeAll()
-		for end := time.Now().Add(300 * time.Millisecond); time.Now().Before(end); { // its wait is over within
+		for end := time.Now().Add(300 * time.Millisecond); time.Now().Before(end); { // the pick request times out within this time
 			l.callCore(func(now time.Duration) { l.core.TimerFired(now) })
 		}
 		return l
@@ -310,7 +314,8 @@
 	}},
 }
 
-// Wherever a transaction waits as its client leaves, no hop of it begins once that is known, and later than 0.1 s after it.
+// Wherever a transaction waits when its client leaves, none of its hops starts once that is noticed,
+// nor later than 0.1 s after the close.
 func Example_clientLeaves() {
 	for _, cancelling := range []bool{true, false} {
 		for _, p := range leaveScenarios {
@@ -341,7 +346,8 @@
 	// calling off false, while the gateway ends: of 30 late 0
 }
 
-// BenchmarkClientLeaves shows how long after the last client's end, of as many as b.N, the gateway knows of all that have left at a place.
+// BenchmarkClientLeaves measures, for each scenario, how long after the last client closed the gateway
+// has noticed all.
 func BenchmarkClientLeaves(b *testing.B) {
 	for _, p := range leaveScenarios {
 		b.Run(strings.ReplaceAll(p.name, " ", "-"), func(b *testing.B) {
--- a/internal/routing/interruptions_test.go
+++ b/internal/routing/interruptions_test.go
@@ -18,7 +18,8 @@
 	"spanmux/logic"
 )
 
-// gatedGateway is a stage whose connections to hosts come up only as the gate lets them; calling one off does not hurry it.
+// gatedGateway is a test gateway whose connections to hosts come up only as the test sends to gate;
+// cancelling a dial does not end it sooner.
 type gatedGateway struct {
 	*testGateway
 	dials, gate chan bool
@@ -37,7 +38,7 @@
 	return g
 }
 
-// waitTimedOut tells whether something that was waited for has not come about.
+// waitTimedOut reports whether a waitFor has timed out.
 func (g *testGateway) waitTimedOut() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -54,8 +55,8 @@
 	g.waitFor("client seen to leave", func() bool { return g.Counters.ClientLeft.Load()+g.Counters.ClientLeftBeforeAdmission.Load() == n })
 }
 
-// A connection that came up after its client had left was written to all the same where what runs may not be called off, and a dial that
-// was called off spoke against its host. What no host has yet costs none anything to drop.
+// A connection that comes up after its client has left must not be written to, whether or not running
+// hops may be called off, and the cancelled dial must not count against its host.
 func Example_clientLeavesDuringConnect() {
 	for _, cancelling := range []bool{true, false} {
 		sent := 0
@@ -85,8 +86,9 @@
 	// calling off allowed: false sent: 0
 }
 
-// A client that sends on before its answer and then leaves was seen by nobody until that answer, and what it had sent behind was taken
-// then, and sent. The same if both come in one piece, and if the rest comes as the first is out.
+// If a client pipelines a second request and then leaves, that must be noticed before the first
+// response, and the second request must not be sent. That also holds if both come in one piece, and if
+// the rest comes while the first is in flight.
 func Example_clientLeavesWhilePipelining() {
 	for _, separately := range []bool{false, true} {
 		s := newTestGateway("one")
@@ -110,7 +112,8 @@
 	// sent: 1 left: 1 false
 }
 
-// A message that waits to be accepted, as the listener is at its limit, is not taken once its client has closed.
+// A request that waits to be accepted, as the listener is at its limit, is not admitted once its
+// client has closed.
 func Example_clientLeavesBeforeAccept() {
 	s := newTestGateway("one")
 	c := s.dial()
@@ -134,12 +137,12 @@
 	// Output: taken: 0 sent: 0 false
 }
 
-// A client that leaves with its body half come, as the connection to a host comes up, was seen once that was there, and its host kept half
-// a message for an hour where nothing may be called off.
+// If a client leaves within its body while the connection to a host comes up, that must be noticed at
+// once. Otherwise a host keeps half a request for an hour if nothing may be called off.
 func Example_clientLeavesDuringBody() {
 	for _, connected := range []bool{false, true} {
 		s := newGatedGateway(false, "one")
-		s.bodyBudget.Store(0) // no room to hold any
+		s.bodyBudget.Store(0) // no budget to hold any body
 		c := s.dial()
 		io.WriteString(c, strings.Replace(requestText("pay", "go", ""), "Length: 2", "Length: 100000", 1)+strings.Repeat("a", 50_000))
 		<-s.dials
@@ -165,11 +168,11 @@
 	// some passed on: true written whole: 0 false
 }
 
-// What waits for a host drawn by another gateway is not sent once its client has left, nor does it go on to the next host as the
-// hop that is out ends.
+// A transaction that waits for another gateway to pick its host is not sent once its client has left,
+// nor is it retried at the next host when the hop in flight ends.
 func Example_clientLeavesDuringPickOrHop() {
 	s := newTestGatewayWith(strings.Replace(testSettings, `"balancers":2`, `"me":1,"balancers":21`, 1), "one")
-	s.callCore(func(time.Duration) { // from here on the module's time goes on as the test has it
+	s.callCore(func(time.Duration) { // from here on the test runs the core's timer
 		s.timer.Stop()
 		s.timer = time.AfterFunc(time.Hour, func() {})
 	})
@@ -178,7 +181,7 @@
 	s.waitFor("taken", func() bool { return s.Counters.Admitted.Load() == 1 })
 	c.Close()
 	s.waitForClientsLeft(1)
-	for end := time.Now().Add(300 * time.Millisecond); time.Now().Before(end); { // its wait is over within
+	for end := time.Now().Add(300 * time.Millisecond); time.Now().Before(end); { // the pick request times out within this time
 		s.callCore(func(now time.Duration) { s.core.TimerFired(now) })
 	}
 	fmt.Println("asks unanswered, sent:", s.Counters.Hops.Load())
@@ -206,8 +209,8 @@
 	// turned away by the first, sent: 1
 }
 
-// A host that drains while a connection to it comes up gets nothing on that: the grace may be over by then. It never ran, so even a
-// payment goes on to the next host.
+// A host that drains while a connection to it comes up gets nothing on that connection: the grace
+// period may be over by then. The hop never ran, so even a payment is retried at the next host.
 func Example_hostDrainsDuringConnect() {
 	s := newGatedGateway(true, "one", "two")
 	c := s.dial()
@@ -225,8 +228,9 @@
 	// Output: to the draining one: 0 withdrawn: 1 pay: 200 "answer to go"
 }
 
-// BenchmarkClientLeavesDuringConnect shows how long after its client's end a transaction is known to be left that waits for a connection, with another
-// behind it; of none may anything be sent.
+// BenchmarkClientLeavesDuringConnect measures how long it takes to notice that a client has closed
+// whose transaction waits for a connection, with another request behind it. Nothing may be sent for
+// either.
 func BenchmarkClientLeavesDuringConnect(b *testing.B) {
 	var longest time.Duration
 	for range b.N {
@@ -247,8 +251,9 @@
 	b.ReportMetric(float64(longest)/1e6, "ms-late-at-most")
 }
 
-// How a watch ends says what is done next. One that falls silent, or is broken off, is had again at once: what it missed counts as told
-// 2 s after its wait, and a pause before that call used them up. One that is refused waits until the module asks.
+// After a watch call that goes silent or is broken off, the next call follows at once: the changes it
+// missed have to be known 2 s after the end of its wait, which a pause would use up. After a refused
+// call the core decides when to call again.
 func Example_watchFailures() {
 	for _, failure := range []string{"silence", "dribbling", "reset", "torn", "refusal"} {
 		s, calls, first := newTestGateway("one"), make(chan string, 9), make(chan time.Time, 1)
@@ -268,7 +273,7 @@
 				}
 				calls <- r.URL.String()
 				switch {
-				case n == 0: // all, on a connection of its own
+				case n == 0: // the whole list, on a connection of its own
 					io.WriteString(nc, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 33\r\n\r\n"+`{"rev":5,"all":true,"targets":[]}`)
 					nc.Close()
 				case n == 1:
@@ -282,7 +287,7 @@
 						io.WriteString(nc, "HTTP/1.1 503 no\r\nContent-Length: 0\r\n\r\n")
 					case "silence":
 						continue
-					case "dribbling": // byte by byte, and never all
+					case "dribbling": // byte by byte, never completely
 						for _, err := io.WriteString(nc, "HTTP/1.1 200 OK\r\nX: "); err == nil; _, err = io.WriteString(nc, "x") {
 							time.Sleep(20 * time.Millisecond)
 						}
@@ -309,8 +314,8 @@
 	// /v1/endpoints?index=5&wait=3000 in time: true again at once: 0 for the module: 1
 }
 
-// A list that is older than what is in hand is not taken: all is asked for. Where that is older too, discovery has begun anew; what was
-// said to drain still does, unless it has started since.
+// A list older than the current one is not applied, and the whole list is requested. If that is older
+// too, discovery has restarted; a host that was draining still is, unless it has restarted since.
 func Example_staleList() {
 	s := newTestGateway("one", "two", "three")
 	entry := func(uid, state string, boot int64) string {
@@ -336,7 +341,8 @@
 	// three takes what is new: true
 }
 
-// A notice that comes where discovery was counts until it is heard where it is, and nothing else that comes there does.
+// A drain notice from the previous address of discovery counts until the new address answers; nothing
+// else from there does.
 func Example_drainNoticeAtOldAddress() {
 	s := newTestGateway("one", "two")
 	s.waitFor("a call", func() bool { return s.Counters.ListCalls.Load() == 1 })
@@ -347,7 +353,7 @@
 		io.WriteString(w, `{"rev":1,"all":true,"targets":[]}`)
 	}))
 	s.callCore(func(time.Duration) { s.changeDiscoveryAddr(at) })
-	<-moved // it is asked, and says nothing yet
+	<-moved // the call has arrived and is not answered yet
 	s.discoveryResponses <- `{"rev":5,"targets":[{"uid":"one","az":"a","state":"terminating"},{"uid":"new","az":"a","state":"in_service"}]}`
 	s.waitFor("goes", func() bool {
 		s.Dispatcher.mu.Lock()
@@ -374,8 +380,8 @@
 	// known: 0 lost: 0
 }
 
-// A long message that its host does not take yet, on a connection that was idle, held up whoever began it: the timer with all that was due
-// beside it, or what other gateways tell.
+// A long request that its host doesn't read yet, on an idle connection, must not block whoever starts
+// the hop: the timer, with everything else that is due, or the receiver of peer messages.
 func Example_longMessageDoesNotBlock() {
 	goOn, host := make(chan bool), logic.HostID(0)
 	s := newGatewayWithScriptedHost(func(nc net.Conn, head *http.Request) {
@@ -400,8 +406,9 @@
 	// Output: answered: true on connections: 1
 }
 
-// What is pushed counts as told from the first moment of a process, and what discovery has at its return at once: the list is called for
-// as the gateway starts, and all the time while it can't be had. Else a second and more was lost, and the grace with it.
+// A pushed list has to be current from the start of the process, and at once when discovery returns:
+// it is requested at the start, and at short intervals while calls fail. Longer pauses would use up
+// the drain's grace.
 func Example_pushedListRetry() {
 	pushed := strings.NewReplacer("subscribe", "automatic", `"askWithin"`, `"drainGrace":300000,"askWithin"`).Replace(testSettings)
 	s := newTestGatewayWith(pushed, "one")
@@ -415,19 +422,19 @@
 	// Output: lost: 5 in time: true
 }
 
-// A 200 that is whole before its message is was made for something else: nothing has run, and no client may have it. What a host finds
-// wrong with a message that it has only begun is an answer to that.
+// A complete 200 before the end of the request belongs to something else: nothing has run, and no
+// client may receive it. An error status before the end of the request is a response to it.
 func Example_responseBeforeRequest() {
 	for _, answer := range []string{"200 OK", "200 long", "400 no"} {
 		s := newGatewayWithScriptedHost(func(nc net.Conn, head *http.Request) {
 			stray := "stray"
-			if answer == "200 long" { // it goes on as it comes
+			if answer == "200 long" { // it is streamed
 				stray = strings.Repeat(stray, 14_000)
 			}
 			fmt.Fprintf(nc, "HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", answer, len(stray), stray)
 			io.Copy(io.Discard, nc)
 		})
-		s.bodyBudget.Store(0) // no room to hold any
+		s.bodyBudget.Store(0) // no budget to hold any body
 		c := s.dial()
 		io.WriteString(c, strings.Replace(requestText("pay", "go", ""), "Length: 2", "Length: 100000", 1)+strings.Repeat("a", 50_000))
 		s.logResponse(c, answer)
@@ -444,7 +451,7 @@
 	// never ran: 0 streamed: 0 committed: 0
 }
 
-// A gateway that ends sends nothing on for a client that leaves meanwhile, and answers the one that stays.
+// During shutdown the gateway sends nothing for a client that leaves, and answers the one that stays.
 func Example_clientLeavesDuringShutdown() {
 	s := newGatedGateway(false, "one")
 	leaving, staying := s.dial(), s.dial()
@@ -469,7 +476,8 @@
 	// written: 1 open: 0
 }
 
-// Settings that make no sense have an outcome: each transaction gets one answer, none runs twice, and nothing stops.
+// With settings of zero or below, each transaction still gets one response, none runs twice, and
+// nothing stops.
 func Example_zeroOrNegativeSettings() {
 	for _, key := range []string{"serviceGoal", "hardLimit", "window", "mostHops", "revenue", "warmUp", "tipAfter", "fallMultiple", "coldFrom",
 		"connectTimeout", "connIdle", "maxRetryAfter"} {
@@ -493,7 +501,8 @@
 	// Output:
 }
 
-// A connection on which a hop was out as its host went from the list fell idle after that, and stood until it had been idle for long.
+// If a host is removed from the list while a hop is in flight, its connection is closed once it is
+// idle, and not only after the idle timeout.
 func Example_hostGoneWithHopInFlight() {
 	goOn, closed := make(chan bool), make(chan bool)
 	s := newGatewayWithScriptedHost(func(nc net.Conn, head *http.Request) {
@@ -512,7 +521,7 @@
 	s.logResponse(c, "pay")
 	select {
 	case <-closed:
-	case <-time.After(time.Second): // half of what hosts keep idle is two
+	case <-time.After(time.Second): // half of the idle timeout is 2 s
 		s.logf("kept")
 	}
 	s.printLog()
--- a/internal/routing/large_fleet_test.go
+++ b/internal/routing/large_fleet_test.go
@@ -22,20 +22,24 @@
 )
 
 const (
-	// largeFleetSize is how many gateways, and how many hosts, no part of the program may fall short of.
+	// largeFleetSize is the number of gateways, and of hosts, that every part of the program has to
+	// support.
 	largeFleetSize = 1024
-	// maxLargeFleetHeapBytes is what a gateway among so many may hold live for them: a sixteenth of a small gateway's 64 MB.
+	// maxLargeFleetHeapBytes bounds the live heap that a gateway needs for them: a sixteenth of a small
+	// gateway's 64 MB.
 	maxLargeFleetHeapBytes = 4 << 20
-	// maxLargeFleetGoroutines is how many it may have that are not there for clients or hosts' connections.
+	// maxLargeFleetGoroutines bounds its goroutines other than those for connections to clients and hosts.
 	maxLargeFleetGoroutines = 16
 )
 
-// largeFleetSettings is those of a gateway among so many, which draws for the zone that all hosts are of.
+// largeFleetSettings returns the settings of one gateway of the fleet, the coordinator of the zone
+// that all hosts are in.
 func largeFleetSettings() string {
 	return strings.Replace(testSettings, `"balancers":2`, fmt.Sprintf(`"balancers":%d`, largeFleetSize), 1)
 }
 
-// largeFleetHosts is a list of so many hosts. Each has an address of its own at one port of this machine.
+// largeFleetHosts returns a list of hosts, each with an address of its own and the same port of this
+// machine.
 func largeFleetHosts(port int, state string) []protocol.HostEntry {
 	entries := make([]protocol.HostEntry, largeFleetSize)
 	for i := range entries {
@@ -45,7 +49,7 @@
 	return entries
 }
 
-// resourceUsage is what has been added to this process's live heap, and to its goroutines, since it was begun.
+// resourceUsage is the live heap and the number of goroutines of this process.
 type resourceUsage struct {
 	heap       uint64
 	goroutines int
@@ -58,7 +62,7 @@
 	return resourceUsage{m.HeapAlloc, runtime.NumGoroutine()}
 }
 
-// checkGrowth reports what is over the bounds, beside so many goroutines of the test's own.
+// checkGrowth reports growth over the bounds; testGoroutines are not counted.
 func (c resourceUsage) checkGrowth(t *testing.T, testGoroutines int) {
 	t.Helper()
 	now := measureUsage()
@@ -71,7 +75,7 @@
 	}
 }
 
-// newTestDispatcher opens a gateway with so many sockets; it has no list yet.
+// newTestDispatcher returns a dispatcher without a host list.
 func newTestDispatcher(t *testing.T, settings string, sockets int) *Dispatcher {
 	t.Helper()
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
@@ -88,7 +92,7 @@
 	return d
 }
 
-// startDiscovery answers each call for the list with the next text that it is given.
+// startDiscovery starts a discovery that answers each call with the next text from the channel.
 func startDiscovery(t *testing.T) (addr string, lists chan<- []byte) {
 	responses := make(chan []byte)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -111,7 +115,7 @@
 	return text
 }
 
-// eventually waits for what is to come about within a time.
+// eventually waits until the condition holds, or fails the test.
 func eventually(t *testing.T, within time.Duration, what string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(within); !condition(); time.Sleep(time.Millisecond) {
@@ -121,8 +125,9 @@
 	}
 }
 
-// A thousand hosts come as one list, then drain one by one, a change a call, and are all back with one call. Each is taken in by a gateway
-// among a thousand, and the whole of it costs little memory and no goroutine for each.
+// A thousand hosts arrive in one list, then drain one by one, a change per call, and all return in one
+// call. A gateway of a fleet of a thousand applies each change, with little memory and without a
+// goroutine per host.
 func TestListLargeFleet(t *testing.T) {
 	d := newTestDispatcher(t, largeFleetSettings(), 400)
 	addr, lists := startDiscovery(t)
@@ -157,7 +162,7 @@
 	eventually(t, time.Second, "all are gone", func() bool { hosts, _, _ := known(); return hosts == 0 })
 }
 
-// peerSockets are the datagrams of other gateways.
+// peerSockets are the sockets of the other gateways.
 type peerSockets []*net.UDPConn
 
 func openPeers(t *testing.T) (sockets peerSockets, addrs []string) {
@@ -172,7 +177,7 @@
 	return sockets, addrs
 }
 
-// joinPeers joins a gateway to the others until the test ends: their ports may be another test's then.
+// joinPeers joins a gateway to the others until the test ends, when their ports may be reused.
 func joinPeers(t *testing.T, d *Dispatcher, own string, addrs []string) {
 	t.Helper()
 	if err := d.JoinPeers(own, addrs, ""); err != nil {
@@ -181,7 +186,7 @@
 	t.Cleanup(func() { d.peers.socket.Close() })
 }
 
-// receive counts what each gets within a time, and gives the messages that it got.
+// receive returns the messages that each socket receives within a time, up to maxMessages each.
 func (p peerSockets) receive(within time.Duration, maxMessages int) (got [][][]byte) {
 	got = make([][][]byte, len(p))
 	var all sync.WaitGroup
@@ -203,8 +208,9 @@
 	return got
 }
 
-// A thousand gateways ask one that draws for a thousand hosts, and tell it what they have out, while it is busy with something else: all of
-// it arrives, each ask is answered with a host, and it costs little memory and no goroutine for each.
+// A thousand gateways send pick requests to the coordinator of a thousand hosts, and entries about
+// their hops, while it is busy: everything arrives, each request is answered with a host, with little
+// memory and without a goroutine per gateway.
 func TestPeerMessagesReceivedLargeFleet(t *testing.T) {
 	const entriesPerDatagram = 25
 	d := newTestDispatcher(t, largeFleetSettings(), 400)
@@ -220,7 +226,7 @@
 	at := netip.MustParseAddrPort(own)
 	d.mu.Lock()
 	for i, c := range peers {
-		var out []logic.PeerEntry // as many as a datagram holds: a hop that is out at one host, and others with none any more
+		var out []logic.PeerEntry // as many as fit in a datagram: a hop in flight at one host, and none any more at others
 		for k := range entriesPerDatagram {
 			id, _ := d.discovery.hostIDFor(fmt.Sprintf("host-%08x", (i+k)%largeFleetSize))
 			out = append(out, logic.PeerEntry{Kind: logic.EntryInFlight, Host: id, InFlight: 1 / (1 + k)})
@@ -255,7 +261,8 @@
 	before.checkGrowth(t, 0)
 }
 
-// What a gateway tells of a thousand hosts reaches a thousand others, each with the host's number and its hops.
+// A peer message about a thousand hosts reaches a thousand other gateways, with each host's ID and
+// number of hops.
 func TestPeerMessagesSentLargeFleet(t *testing.T) {
 	d := newTestDispatcher(t, largeFleetSettings(), 400)
 	peers, addrs := openPeers(t)
@@ -292,7 +299,8 @@
 	}
 }
 
-// A process hands all that it has learnt of a thousand hosts to the next one, in far less than the time for which that waits.
+// A process hands its learned state for a thousand hosts to the next one, in far less time than the
+// next one waits.
 func TestLearnedStateLargeFleet(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "heir")
 	known := func() *protocol.HostList {
--- a/internal/routing/list_propagation_test.go
+++ b/internal/routing/list_propagation_test.go
@@ -16,14 +16,15 @@
 	"time"
 )
 
-// maxPropagationTime is the bound on all that is below: a change counts as told so long after discovery had it and could be reached, whatever call
-// had failed, was refused or was given up before.
+// maxPropagationTime bounds the tests below: a list change has to be known this long after discovery
+// has it and can be reached, whatever calls failed, were refused or given up before.
 const maxPropagationTime = 6 * time.Second
 
-// maxDiscoveryQueueTime is how long discovery lets a call wait for its turn; one that would wait longer is turned away.
+// maxDiscoveryQueueTime is how long discovery queues a call; one that would wait longer is refused.
 const maxDiscoveryQueueTime = 2 * time.Second
 
-// simulatedTime is what is due in a model's time, the soonest first, and of one instant in the order in which it was put there.
+// simulatedTime is an event queue in simulated time, earliest first; events of one instant are run in
+// the order in which they were added.
 type simulatedTime struct {
 	events []event
 	added  int
@@ -62,35 +63,36 @@
 	}
 }
 
-// simulatedFleet is many gateways that watch one discovery, in a model's time: they wait, give up and back off by the constants and the function of
-// the program. Discovery takes one call of each gateway in the time of a round, in turn; one for which the queue is full is refused.
+// simulatedFleet simulates many gateways that watch one discovery, with the program's constants and
+// backoff function. Discovery answers one call of each gateway per round, in turn, and refuses a call
+// if the queue is full.
 type simulatedFleet struct {
 	simulatedTime
 	gateways     int
 	round        time.Duration
-	renewalsCost bool // the call with which a watch goes on costs as much as one that begins it
+	renewalsCost bool // a call that continues a watch costs as much as one that starts it
 	jitter       *rand.Rand
 
-	freeAt      time.Duration // by when discovery is through with what it has taken
-	failureMode string        // what it does with calls now: "", "refuses", "silent"
+	freeAt      time.Duration // when discovery is done with the calls it has accepted
+	failureMode string        // how discovery fails now
 	changed     bool
 	calls       []time.Duration
 	refused     int
 	watchers    []*simulatedWatcher
 }
 
-// simulatedWatcher is one gateway's.
+// simulatedWatcher is the watch of one gateway.
 type simulatedWatcher struct {
 	fleet     *simulatedFleet
-	call      int // the number of the call that is out
+	call      int // the number of the call in flight
 	startedAt time.Duration
-	waiting   bool // discovery has it, and will tell
-	continues bool // the watch has not ended since the last call
-	retried   bool // the last call was cut off, and this one followed at once
+	waiting   bool // discovery holds the call
+	continues bool // the last call did not fail
+	retried   bool // the last call was interrupted, and this one followed at once
 	knownAt   time.Duration
 }
 
-const networkDelay = time.Millisecond // one way over the network
+const networkDelay = time.Millisecond // networkDelay is the delay one way.
 
 func (w *simulatedWatcher) startCall() {
 	f := w.fleet
@@ -112,7 +114,7 @@
 		took = 0
 	}
 	f.freeAt = max(f.freeAt, f.now) + took
-	f.schedule(f.freeAt-f.now, func() { // its turn has come
+	f.schedule(f.freeAt-f.now, func() { // the queue has reached it
 		switch {
 		case w.call != call || f.failureMode == "silent":
 		case f.changed && w.knownAt == 0:
@@ -128,7 +130,7 @@
 	})
 }
 
-// responseSent is an answer to the call; it brings the change where discovery has it.
+// responseSent simulates the response to a call; it brings the change if discovery has it.
 func (w *simulatedWatcher) responseSent(call int) {
 	w.waiting = false
 	w.fleet.schedule(networkDelay, func() {
@@ -143,7 +145,7 @@
 	})
 }
 
-// callFailed is a call that failed, as Desk.watch has it: cut off, or refused.
+// callFailed simulates a call that was interrupted or refused, as Dispatcher.watchList handles it.
 func (w *simulatedWatcher) callFailed(call int, cutOff bool) {
 	if w.call != call {
 		return
@@ -156,8 +158,9 @@
 	w.fleet.schedule(listBackoff(w.fleet.now-w.startedAt, w.fleet.jitter.Float64()), w.startCall)
 }
 
-// simulate plays how discovery fails, and gives the longest time from the change, and from when discovery could be reached, to the last gateway
-// that knows; and of the calls the mean a second while nothing is wrong, and the most in a second.
+// simulate runs one kind of failure. It returns the longest time from the change, and from when
+// discovery could be reached, until a gateway knew it, the mean rate of calls per second before the
+// failure, and the highest rate after it.
 func (f *simulatedFleet) simulate(fault string) (longest time.Duration, usualRate, maxRate float64) {
 	const change, outage = 20 * time.Second, 8 * time.Second
 	f.jitter = rand.New(rand.NewPCG(1, uint64(f.gateways)))
@@ -169,13 +172,13 @@
 	reachableAt := change
 	f.schedule(change-networkDelay, func() {
 		switch fault {
-		case "reset", "refused": // what waits ends
+		case "reset", "refused": // waiting calls end
 			for _, w := range f.watchers {
 				if w.waiting {
 					w.callFailed(w.call, fault == "reset")
 				}
 			}
-		case "silent": // what waits goes unheard, and new calls are answered
+		case "silent": // waiting calls go silent, and new ones are answered
 			for _, w := range f.watchers {
 				w.waiting = false
 			}
@@ -222,9 +225,10 @@
 	return longest, usualRate / (change / 2).Seconds(), maxRate
 }
 
-// Where there were 300 gateways a call waited for 20 s, and one that was lost was asked for again up to 5 s later: a drain that began as a
-// watch fell silent was known after 21 s. This is the reckoning for any number of them: the longest until all know, and calls a second, while
-// nothing is wrong and at the most, over all gateways together. Discovery takes a call of each in 2 s here.
+// With 300 gateways and longer waits, a drain was known only after 21 s if a watch went silent as it
+// began: a call waited for 20 s, and a failed one was repeated up to 5 s later. This simulates fleets
+// of several sizes: the longest time until all gateways know, and the calls per second of all
+// gateways, usually and at most. Discovery takes one call of each gateway in 2 s.
 func Example_listPropagationInFleet() {
 	for _, gateways := range []int{1, 3, 60, 300, 1000} {
 		for _, fault := range []string{"silent", "reset", "refused", "down", "mute"} {
@@ -262,7 +266,8 @@
 	// 1000 mute: known 4.7 s, in time true, calls 333.9, at most 618
 }
 
-// Whatever way a call ends, and however long it was out, the next begins within 4 s of its beginning; the answer's queue makes it 6 s.
+// However a call ends, and after whatever time, the next one begins within 4 s of its beginning; the
+// queue before the answer makes it 6 s.
 func Example_listPropagationBound() {
 	longest := listWatchDuration + listWatchMargin
 	for elapsed := time.Duration(0); elapsed <= max(listWatchDuration+listWatchMargin, listCallTimeout, 2*time.Second); elapsed += time.Millisecond { // 2 s: a connection that never comes up
@@ -275,9 +280,9 @@
 	// Output: 4s true
 }
 
-// The slower discovery works through calls, the later the last gateway is answered, whatever these do: by a round more, where the calls of a
-// watch that goes on cost it next to nothing. Where they cost as much as others and a round takes longer than a call waits, it has more to do
-// than it can at all times.
+// The slower discovery answers calls, the later the last gateway is answered, whatever the gateways
+// do: by one more round if the calls that continue a watch cost next to nothing. If they cost as much
+// as others and a round takes longer than a call waits, discovery is overloaded all the time.
 func Example_listPropagationByOverloadedDiscovery() {
 	for _, renewals := range []bool{false, true} {
 		for _, round := range []time.Duration{2, 3, 4, 5, 6, 8} {
@@ -316,15 +321,15 @@
 	// renewals cost true, round 8 s, down: known 32.0 s, load 3.49, refused 5613
 }
 
-// failingDiscovery is one that fails as it is told, over connections, with the watch that waits there as the test lets it.
+// failingDiscovery is a discovery over sockets that fails in a given way when the test says so.
 type failingDiscovery struct {
 	fault        string
 	host         string
 	addr         string
 	ln           net.Listener
-	watchWaiting chan bool // a watch does
-	fail         chan bool // closed as it is to
-	changedAt    time.Time // since then discovery has the drain and can be reached; set before it fails
+	watchWaiting chan bool // receives when a watch call waits
+	fail         chan bool // closed to make discovery fail
+	changedAt    time.Time // when discovery has the drain and can be reached; set before fail is closed
 	failed       atomic.Bool
 }
 
@@ -348,7 +353,8 @@
 	}
 }
 
-// handle answers a call: the list as it was, then it fails as the watch waits, and then there is the drain.
+// handle answers a call: first with the old list, then it fails the waiting watch, and after that
+// returns the drain.
 func (d *failingDiscovery) handle(nc net.Conn, index string) (keep bool) {
 	write := func(status, list string) {
 		fmt.Fprintf(nc, "HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", status, len(list), list)
@@ -360,7 +366,7 @@
 	case index == "":
 		write("200 OK", `{"rev":5,"all":true,"targets":[`+entry("in_service")+`]}`)
 		return true
-	case index == "6": // all is known
+	case index == "6": // everything is known
 		return true
 	case d.failed.Load() && time.Now().After(d.changedAt):
 		if d.fault == "overbooked" {
@@ -400,8 +406,9 @@
 	return false
 }
 
-// logAcrossDiscoveryFailure gives what a gateway among so many does that watches one which fails: its only host is asked before the fault, and again once the
-// drain is known or has to be.
+// logAcrossDiscoveryFailure returns the log of one gateway of a fleet with a failing discovery: its
+// only host gets a request before the failure, and another is sent once the drain is known or has to
+// be.
 func logAcrossDiscoveryFailure(fault string, gateways int, address string) string {
 	s := newTestGatewayWith(strings.NewReplacer(`"balancers":2`, fmt.Sprintf(`"balancers":%d`, gateways), `"askWithin":200000`,
 		`"askWithin":10000000`, `"mayTell":true`, `"mayTell":false`).Replace(testSettings))
@@ -411,7 +418,7 @@
 	}
 	d := &failingDiscovery{fault: fault, addr: ln.Addr().String(), ln: ln, watchWaiting: make(chan bool, 9), fail: make(chan bool)}
 	d.host = s.startServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if strings.HasPrefix(r.URL.Path, "/pay") { // else it is meant for whoever had this port before, in another process
+		if strings.HasPrefix(r.URL.Path, "/pay") { // otherwise it is meant for the previous user of this port, in another process
 			s.serveHost("one", w, r)
 		}
 	}))
@@ -431,14 +438,14 @@
 	return strings.Join(s.log, "; ")
 }
 
-// The same over connections, for each way in which discovery may fail: 6 s after it has the drain and can be reached the gateway knows, and
-// sends nothing more to that host, however many gateways there are.
+// The same over sockets, for each kind of failure: 6 s after discovery has the drain and can be
+// reached, the gateway knows it and sends nothing more to that host, in a fleet of any size.
 func Example_listPropagationAfterFailure() {
 	var all sync.WaitGroup
 	logs := make(chan string, 99)
 	for g, gateways := range []int{1, 3, 60, 300, 1000} {
 		for i, fault := range []string{"silent", "dribbling", "torn", "reset", "refuses", "overbooked", "down", "mute"} {
-			all.Go(func() { // each at an address of its own: while it listens to nobody no other takes its port
+			all.Go(func() { // each at an address of its own, as its port is free while it doesn't listen
 				logs <- fault + ": " + logAcrossDiscoveryFailure(fault, gateways, fmt.Sprintf("127.0.%d.%d:0", 50+g, 1+i))
 			})
 		}
@@ -462,7 +469,8 @@
 	// torn: one: POST /pay?go "hi"; pay go: 200 "answer to go"; pay after: 503 "rolled back"
 }
 
-// A discovery that tells the same again at once, as one that knows no watches does, is not called without a pause.
+// A discovery that returns the same list again at once, as one that doesn't support watches, is called
+// with pauses.
 func Example_unchangedListRepeated() {
 	s := newTestGateway("one")
 	for range 5 {
@@ -475,15 +483,16 @@
 	// Output: pauses: true
 }
 
-// Calls that are refused do not make ever more: the module asks for each loss that it is told of, and a backoff asks beside it. Told of each
-// loss there was one more call under way after each, and 60 gateways made 189 calls a second of a discovery that could not take them.
+// Refused calls must not multiply. The core requests the list after each failure it is told of, and a
+// backoff timer calls as well. When each failure was reported, there was one more call in flight after
+// each, and 60 gateways made 189 calls a second to an overloaded discovery.
 func Example_refusedCallsDoNotMultiply() {
 	s := newTestGatewayWith(strings.NewReplacer(`"balancers":2`, `"balancers":300`, `"askWithin":200000`, `"askWithin":10000000`, `"mayTell":true`,
 		`"mayTell":false`).Replace(testSettings), "one")
 	refuses := s.startServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(503) }))
 	s.callCore(func(time.Duration) { s.changeDiscoveryAddr(refuses) })
 	time.Sleep(9 * time.Second)
-	calls := s.Counters.ListCalls.Load() // by the backoff no more than one a second, by the module as many at the most
+	calls := s.Counters.ListCalls.Load() // the backoff allows one call a second, and the core as many at most
 	fmt.Println("had again:", calls >= 4, "no more than both would:", calls <= 18)
 	// Output: had again: true no more than both would: true
 }
--- a/internal/routing/operations_test.go
+++ b/internal/routing/operations_test.go
@@ -13,8 +13,9 @@
 	"spanmux/logic"
 )
 
-// Clients that are sent away lose nothing: what comes is answered and told to close, what is idle closes soon, and the gateway
-// says no until it is told to take them again. One told to close in between closes.
+// Draining loses no request: new ones are answered with Connection: close, idle connections close
+// soon, and the gateway is not ready until clients are accepted again. A connection that was told to
+// close in between closes.
 func ExampleDispatcher_SetDraining() {
 	s := newTestGateway("one")
 	ready := func() {
@@ -64,8 +65,9 @@
 	// at the end: drain true, resume false, takes clients false
 }
 
-// Each answer to a transaction of a known profile counts once, by what its client got, hops by what was written whole, and
-// nothing stays open. A host whose breaker is open is avoided.
+// Each response to a transaction of a known profile counts once, by what its client received; hops
+// count once they are written completely, and nothing stays open. A host with an open breaker is
+// ejected.
 func ExampleDispatcher_MetricsJSON() {
 	s := newTestGateway("one", "down")
 	for _, do := range []string{"go", "go", "error", "decline", "full"} {
@@ -88,8 +90,8 @@
 	// {"succeeded":{"order":0,"pay":2,"read":0},"declined":{"order":0,"pay":1,"read":0},"aborted":{"order":0,"pay":2,"read":1},"forwards":6,"outstanding":0,"discovered":3,"ejected":0,"sighup_applied":0,"sighup_rejected":0}
 }
 
-// A process asks the one before it for what that has learnt, and begins with it; one that says nothing, or nonsense, leaves it to learn
-// by itself, and costs it no more than a moment.
+// A process asks its predecessor for the learned state and starts with it. If the predecessor sends
+// nothing or something invalid, the process starts without and loses hardly any time.
 func ExampleDispatcher_ListenForHandover_learns() {
 	dir, err := os.MkdirTemp("", "learns")
 	if err != nil {
@@ -140,14 +142,15 @@
 	// profiles learnt: 1
 }
 
-// Asks for a host and their answers are counted, so that it shows when the gateway that draws has fallen silent.
+// Requests for a host and their responses are counted, so that it shows if the gateway that picks
+// hosts is unresponsive.
 func ExampleDispatcher_SendPeerMessage_pickRequests() {
 	s := newTestGateway("one")
 	s.callCore(func(time.Duration) {
 		s.SendPeerMessage(1, []logic.PeerEntry{{Kind: logic.EntryPickRequest, InFlight: 1}, {Kind: logic.EntryPickRequest}, {Kind: logic.EntryInFlight}})
 	})
 	var peerAddr netip.AddrPort
-	for addr, number := range s.peers.indexByAddr { // in any order: one is the other gateway's
+	for addr, number := range s.peers.indexByAddr { // the order doesn't matter: one belongs to the other gateway
 		if number == 1 {
 			peerAddr = addr
 		}
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -27,12 +27,13 @@
 	`{"name":"order","effect":"deduplicated","group":"cell","window":900000,"serviceGoal":2000000,"revenue":1},` +
 	`{"name":"pay","effect":"at_most_once","serviceGoal":2000000,"revenue":1}]}`
 
-// testGateway is a gateway between stand-ins: hosts that do what a transaction's query says, and discovery.
+// testGateway is a gateway between test hosts, which do what a request's query says, and a test
+// discovery.
 type testGateway struct {
 	*Dispatcher
 	mu                 sync.Mutex
 	log                []string
-	discoveryResponses chan string // what discovery answers next, "" for 503
+	discoveryResponses chan string // the next responses of discovery; "" stands for 503
 }
 
 func newTestGateway(hosts ...string) *testGateway { return newTestGatewayWith(testSettings, hosts...) }
@@ -47,7 +48,7 @@
 		ln, err = net.Listen("tcp", "127.0.0.1:0")
 		dispatcher.ConfigureListener(ln, false, 400, 0, 2<<20)
 	}
-	if err == nil && dispatcher.core.GatewayCount == 2 { // more are not told of each other
+	if err == nil && dispatcher.core.GatewayCount == 2 { // larger fleets have no peer addresses
 		err = dispatcher.JoinPeers("127.0.0.1:0", []string{"127.0.0.1:9", "127.0.0.1:8"}, "")
 	}
 	if err != nil {
@@ -57,7 +58,7 @@
 	for i, uid := range hosts {
 		addr := g.startServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { g.serveHost(uid, w, r) }))
 		if uid == "down" {
-			addr = "127.0.0.1:1" // a port that was open before might be another's by now
+			addr = "127.0.0.1:1" // a port that was open before might be used by another process by now
 		}
 		known.Hosts = append(known.Hosts, protocol.HostEntry{UID: uid, Endpoint: addr, Zone: "a", Cell: i, State: "in_service"})
 	}
@@ -77,7 +78,7 @@
 	g.log = append(g.log, fmt.Sprintf(format, args...))
 }
 
-// serveHost does what the query says and prints what has come.
+// serveHost does what the query says and logs the request.
 func (g *testGateway) serveHost(uid string, w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == protocol.LoadPath {
 		io.WriteString(w, "TEXT inflight=1, queue=0")
@@ -109,7 +110,7 @@
 		io.WriteString(w, "half")
 		http.NewResponseController(w).Flush()
 		closeConn()
-	case "slow": // past the time for which a gateway that ends takes connections
+	case "slow": // longer than a gateway accepts connections at shutdown
 		time.Sleep(shutdownAcceptDuration + 200*time.Millisecond)
 		io.WriteString(w, "late answer")
 	case "wait":
@@ -120,7 +121,7 @@
 		}
 	default:
 		w.Header().Set("Endpoint-Load-Metrics", "TEXT inflight=1, queue=0")
-		http.NewResponseController(w).Flush() // so that the answer comes in chunks
+		http.NewResponseController(w).Flush() // so that the response is chunked
 		io.WriteString(w, "answer to "+action)
 	}
 }
@@ -151,7 +152,7 @@
 	return &clientConn{nc, bufio.NewReader(nc)}
 }
 
-// requestText is a transaction of a profile; do is what the host is to do.
+// requestText is a request of a profile; action is what the host is to do.
 func requestText(profile, action, moreFields string) string {
 	method := "POST"
 	switch profile {
@@ -167,7 +168,7 @@
 		"\r\nX-Expires-In-Ms: 1900\r\n" + moreFields + "\r\n" + map[string]string{"POST": "hi"}[method]
 }
 
-// logResponse prints the next answer.
+// logResponse reads the next response and logs it.
 func (g *testGateway) logResponse(c *clientConn, label string) {
 	c.SetReadDeadline(time.Now().Add(5 * time.Second))
 	response, err := http.ReadResponse(c.reader, nil)
@@ -187,7 +188,7 @@
 	g.logResponse(c, profile+" "+action)
 }
 
-// waitFor waits for what is to come about, for 5 seconds at the most.
+// waitFor waits until the condition holds, for 5 seconds at most.
 func (g *testGateway) waitFor(what string, condition func() bool) {
 	for deadline := time.Now().Add(5 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
@@ -197,7 +198,7 @@
 	}
 }
 
-// waitForLine waits for a line that begins so.
+// waitForLine waits for a log line with a prefix.
 func (g *testGateway) waitForLine(prefix string) {
 	g.waitFor(prefix, func() bool {
 		g.mu.Lock()
@@ -221,8 +222,9 @@
 	g.mu.Unlock()
 }
 
-// What each end of a hop comes to. A payment goes on only while no hop may have run, and an order that may have run only
-// in its cell, which has one host here; an abandonment promises nothing.
+// The response for each outcome of a hop. A payment is retried only while no hop may have run, and an
+// order that may have run only in its cell, which has one host here. An abandoned transaction promises
+// nothing.
 func Example_hopOutcomes() {
 	s := newTestGateway("one")
 	for _, profile := range []string{"read", "order", "pay"} {
@@ -270,8 +272,9 @@
 	// pay half: 504 "abandoned"
 }
 
-// What a host declines goes to the client as it is and to no other host, and speaks against none: the breakers would open
-// after five such errors in a row, and five more reads would try both hosts each.
+// A declined request is passed to the client unchanged, is not retried and does not count against its
+// host: the breakers would open after five errors in a row, and five more reads would try both hosts
+// each.
 func Example_declined() {
 	s := newTestGateway("one", "two")
 	for range 10 {
@@ -284,7 +287,8 @@
 	// hops: 10 declined: 10 errors: 0
 }
 
-// A connection that never comes up proves that nothing ran: even a payment goes on, here to the other host.
+// A connection that never comes up proves that nothing ran: even a payment is retried, here at the
+// other host.
 func Example_connectFailure() {
 	s := newTestGateway("down", "one")
 	for range 4 {
@@ -304,8 +308,8 @@
 	// connections that never came up: true
 }
 
-// A client that closes has left: the hop out for it is given up and nothing more is sent for it. One that only sends
-// early is answered in turn, and what comes late for the first does not reach the second.
+// If a client closes, its hop is cancelled and nothing more is sent for it. Pipelined requests are
+// answered in turn, and a late response to the first does not reach the second.
 func Example_clientLeavesOrPipelines() {
 	s := newTestGateway("one")
 	c := s.dial()
@@ -332,7 +336,7 @@
 	// left: 1 hops: 3
 }
 
-// What is wrong gets an answer of its own and is not taken.
+// Invalid input gets a specific response and is not admitted.
 func Example_invalidInput() {
 	s := newTestGateway("one")
 	for _, text := range []string{
@@ -348,7 +352,7 @@
 		s.logResponse(c, fmt.Sprintf("%q", what))
 		c.Close()
 	}
-	c := s.dial() // one that goes on sending is not reset, or it might never see its answer
+	c := s.dial() // a client that keeps sending is not reset, or it might never see its response
 	io.WriteString(c, strings.Replace(requestText("order", "go", ""), "Length: 2", "Length: 33554433", 1))
 	s.logResponse(c, "too long")
 	for range 2 {
@@ -365,8 +369,8 @@
 	open.Close()
 	s.waitForLine("one: given up")
 	s.roundTrip("pay", "go")
-	s.datagramReceived(netip.MustParseAddrPort("127.0.0.1:7"), make([]byte, 9)) // of no gateway
-	s.datagramReceived(netip.MustParseAddrPort("127.0.0.1:8"), make([]byte, 8)) // no whole number of hosts
+	s.datagramReceived(netip.MustParseAddrPort("127.0.0.1:7"), make([]byte, 9)) // from no known gateway
+	s.datagramReceived(netip.MustParseAddrPort("127.0.0.1:8"), make([]byte, 8)) // no whole number of entries
 	s.datagramReceived(netip.MustParseAddrPort("127.0.0.1:8"), make([]byte, 10))
 	s.printLog()
 	fmt.Println("wrong:", s.Counters.InvalidInputs.Load(), "taken:", s.Counters.Admitted.Load(), "told:", s.Counters.PeerMessagesReceived.Load(), "dropped:",
@@ -391,7 +395,8 @@
 	// wrong: 10 taken: 2 told: 1 dropped: 2
 }
 
-// A client that says nothing, or never all, is told so or closed within 3 seconds; one that may come again is kept for longer.
+// A client that sends nothing, or an incomplete request, is answered or closed within 3 seconds; a
+// connection that has had a request is kept for longer.
 func Example_silentClients() {
 	s := newTestGateway("one")
 	began := time.Now()
@@ -422,8 +427,8 @@
 	// in time: true
 }
 
-// A watch goes on from the version in hand; a list that is lost or makes no sense leaves the old one standing, and it is
-// asked again. A host that drains gets nothing more.
+// A watch continues from the current revision. After a failed call or an invalid list the old list
+// stays in force and the call is repeated. A draining host gets no new hops.
 func Example_listWatch() {
 	s := newTestGateway("one", "two")
 	s.discoveryResponses <- `{"rev":5,"all":false,"targets":[{"uid":"one","az":"a","state":"terminating"}]}`
@@ -456,12 +461,12 @@
 	// read go: 503 "rolled back"
 }
 
-// Where the settings say that changes come by themselves the gateway asks all the same, as on sockets none would. A
-// discovery that answers at once with nothing is not called without a pause.
+// If the settings say that list changes are pushed, the gateway watches all the same, as nothing would
+// come over a socket otherwise. A discovery that returns nothing at once is called with pauses.
 func Example_pushedListIsWatched() {
 	settings := strings.Replace(testSettings, "subscribe", "automatic", 1)
 	s := newTestGatewayWith(strings.Replace(settings, `,"connIdle":4000000,"connectTimeout":200000`, "", 1), "one")
-	s.roundTrip("read", "go") // connections come up and are kept, though nothing is said of their times
+	s.roundTrip("read", "go") // connections come up and are kept without settings for their timeouts
 	s.discoveryResponses <- `{"rev":5,"all":true,"targets":[]}`
 	s.waitForRevision(5)
 	s.roundTrip("read", "go")
@@ -480,8 +485,8 @@
 	// pauses: true
 }
 
-// Discovery may move while a call waits there. All is asked for at the new address at once; what the old one still
-// brings is passed over, and its end is no lost list.
+// The address of discovery may change while a call waits there. The whole list is requested at the new
+// address at once; a list from the old one is ignored, and its end is no failed call.
 func Example_discoveryMoves() {
 	s := newTestGateway("one", "two")
 	s.waitFor("a call", func() bool { return s.Counters.ListCalls.Load() == 1 })
@@ -513,8 +518,8 @@
 	// lost: 0
 }
 
-// A host's number comes from its uid alone, and two uids with one number are noticed. A start before the gateway's own
-// is known as such: taken for long ago, a cold host would be pushed over.
+// The ID of a host depends on its UID alone, and two UIDs with one ID are noticed. A host's start
+// before the gateway's is kept: with a start long ago a cold host would be overloaded.
 func Example_hostIDs() {
 	state := newDiscoveryState()
 	for _, uid := range []string{"plumless", "plumless", "buckeroo"} {
@@ -530,7 +535,8 @@
 	// 0s 59m57.5s 1h0m0.5s 0s
 }
 
-// After the word to end, connections go on coming for a while and are answered; what is out then is still answered.
+// After Close, connections are accepted for a while and answered, and transactions in flight are
+// answered.
 func Example_shutdown() {
 	s := newTestGateway("one")
 	idle, busy := s.dial(), s.dial()
@@ -556,8 +562,8 @@
 	// busy: 200 "late answer", the last
 }
 
-// Idle connections to a host that drains are closed as the gateway is told, where settings say so, and one that was busy as it falls
-// idle; elsewhere they stand until they have been idle for long.
+// Idle connections to a draining host are closed at once where the settings say so, and one in use
+// once it is idle. Otherwise they stay until the idle timeout.
 func Example_drainClosesIdleConnections() {
 	for _, rules := range []string{testSettings, strings.Replace(testSettings, `"askWithin"`, `"closeOnDrainWithin":500000,"askWithin"`, 1)} {
 		s := newTestGatewayWith(rules)
@@ -579,8 +585,8 @@
 		s.waitForRevision(5)
 		busy := s.dial()
 		io.WriteString(busy, requestText("read", "wait", ""))
-		defer busy.Close() // one that nobody holds any more is closed by the collector
-		<-arrived          // else it would come to a host that drains
+		defer busy.Close() // an unreferenced connection is closed by the garbage collector
+		<-arrived          // otherwise it would arrive when the host drains
 		s.roundTrip("read", "go")
 		s.discoveryResponses <- fmt.Sprintf(`{"rev":6,"targets":[{"uid":"one","az":"a","endpoint":%q,"state":"terminating"}]}`, host.Listener.Addr())
 		s.waitForRevision(6)
@@ -603,8 +609,9 @@
 	// busy one closed
 }
 
-// The same build serves both shapes; settings alone say which. Where connections cost, a gateway of a client process keeps
-// to few hosts, one at the least, and what it gives back is opened anew; one of a pool goes to all.
+// One build serves both kinds of deployment, as the settings say. Where connections cost, a gateway in
+// a client process uses few hosts, at least one, and reopens connections that it closed; a gateway of
+// a pool uses all hosts.
 func Example_connectionCost() {
 	clientSideSettings := strings.NewReplacer(`"balancers":2`, `"balancers":300`, `"mayTell":true`, `"mayTell":false,"secondCopies":false`,
 		`"dcs"`, `"prices":{"connection":0.05},"report":{"via":"answers","fields":["busy","rif"]},"dcs"`).Replace(testSettings)
@@ -621,7 +628,7 @@
 		}
 		opened := s.pool.Opened.Load()
 		s.callCore(func(time.Duration) {
-			for id := range s.discovery.addrByID { // in any order
+			for id := range s.discovery.addrByID { // the order doesn't matter
 				s.CloseIdleConnections(id)
 			}
 		})
--- a/internal/routing/stream_test.go
+++ b/internal/routing/stream_test.go
@@ -20,7 +20,7 @@
 
 const megabyte = 1 << 20
 
-// startScriptedHost is a host that does with each connection what the function says, once it has read a head.
+// startScriptedHost starts a host that calls serve for each request head it reads.
 func (g *testGateway) startScriptedHost(serve func(nc net.Conn, head *http.Request)) protocol.HostEntry {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -40,7 +40,7 @@
 	return protocol.HostEntry{UID: "scripted", Endpoint: ln.Addr().String(), Zone: "a", State: "in_service"}
 }
 
-// newGatewayWithScriptedHost is a stage with one such host.
+// newGatewayWithScriptedHost returns a test gateway with one scripted host.
 func newGatewayWithScriptedHost(serve func(nc net.Conn, head *http.Request)) *testGateway {
 	g := newTestGateway()
 	g.applyList(g.discovery.conn, 1, &protocol.HostList{Revision: 5, Full: true, Hosts: []protocol.HostEntry{g.startScriptedHost(serve)}})
@@ -49,9 +49,9 @@
 
 func testBytes(n int) []byte { return bytes.Repeat([]byte("0123456789abcdef"), n/16+1)[:n] }
 
-// An answer over the usual size goes on as it comes, in each form that hosts have for its end, also to a client that reads slowly,
-// and the first bytes do not wait for the last. One that breaks off does so for its client too; one that is too long, or may not pass,
-// may have run. The module hears no more of it once it has begun.
+// A response over the usual size is streamed, whatever marks its end, also to a slow client, and its
+// first bytes don't wait for the last. One that breaks off does so for the client too. One that is too
+// long, or an error, counts as possibly run. The core gets no further report on a streamed response.
 func ExampleDispatcher_streamResponse() {
 	goOn := make(chan bool)
 	s := newGatewayWithScriptedHost(func(nc net.Conn, head *http.Request) {
@@ -106,7 +106,7 @@
 		for err = nil; err == nil; {
 			var k int
 			if k, err = r.Body.Read(piece); k > 0 && n == 0 && action == "sized" {
-				goOn <- true // the rest comes only once the first bytes are here
+				goOn <- true // the rest is sent only once the first bytes have arrived
 			}
 			sum.Write(piece[:k])
 			if n += k; slowly {
@@ -148,9 +148,9 @@
 	// streamed: 9 cut off: 3 open: 0 0
 }
 
-// A body that is too long to be held is passed on as it comes, and the time of its transaction counts from its last byte. A host that
-// answers before that is heard, and both connections close; a client that breaks off, or sends too slowly or what makes no sense, has
-// not had it run.
+// A body that is too long to be held is streamed to the host, and the time budget of its transaction
+// counts from its last byte. A host may answer before that; then both connections close. If the client
+// breaks off, is too slow or sends something invalid, the request has not run.
 func ExampleDispatcher_forwardBody() {
 	hostErrors := make(chan string, 9)
 	s := newGatewayWithScriptedHost(func(nc net.Conn, head *http.Request) {
@@ -168,7 +168,7 @@
 		answer := fmt.Sprint(n, head.TransferEncoding)
 		fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(answer), answer)
 	})
-	s.bodyBudget.Store(0) // no room to hold any
+	s.bodyBudget.Store(0) // no budget to hold any body
 	begin := func(action, framing string) *clientConn {
 		c := s.dial()
 		fmt.Fprintf(c, "POST /pay?%s HTTP/1.1\r\nX-Trace-Id: f-%s\r\nX-Qos: pay\r\nX-Expires-In-Ms: 900\r\n%s\r\n\r\n", action, action, framing)
@@ -176,7 +176,7 @@
 	}
 	long := testBytes(3 * megabyte)
 	c := begin("sized", "Content-Length: 3145728")
-	for piece := long; len(piece) > 0; piece = piece[1<<19:] { // it takes longer than its budget, and that does not count
+	for piece := long; len(piece) > 0; piece = piece[1<<19:] { // sending takes longer than the time budget, which doesn't count
 		time.Sleep(200 * time.Millisecond)
 		c.Write(piece[:1<<19])
 	}
@@ -221,8 +221,8 @@
 	// written whole: 3 open: 0
 }
 
-// Of a body that can't be sent again only a hop that never was up may be followed by another; one that broke within it is rolled
-// back at once.
+// With a body that can't be sent again, only a hop that was never connected may be followed by
+// another. A hop that broke within the body is rolled back at once.
 func ExampleDispatcher_forwardBody_retry() {
 	s := newTestGateway()
 	breaks := s.startScriptedHost(func(nc net.Conn, head *http.Request) {
@@ -248,9 +248,9 @@
 	// written whole: 0 never up: true
 }
 
-// An answer that does not say its size and comes slowly goes on as it comes, and not only once 64 KiB are there: held until then, it
-// would be cut off as its transaction's time is up while its host still gives it. Pauses fall where they hurt most: within a chunk's
-// length, before its end, within the end of all.
+// A slow response without a length is streamed as it comes, and not only once 64 KiB are there: held
+// until then, it would be cut off at the end of the transaction's time while its host still sends. The
+// pauses fall within a chunk's length, before its end and within the trailer.
 func ExampleDispatcher_streamResponse_slowly() {
 	s := newGatewayWithScriptedHost(func(nc net.Conn, head *http.Request) {
 		io.WriteString(nc, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -278,7 +278,7 @@
 	// true <nil>
 }
 
-// unsentBytes is how many bytes a host's socket holds that have not gone over to the other machine.
+// unsentBytes returns how many bytes in a host's socket the other machine has not acknowledged.
 func unsentBytes(nc net.Conn) (n int32) {
 	raw, err := nc.(*net.TCPConn).SyscallConn()
 	if err == nil {
@@ -292,11 +292,13 @@
 	return n
 }
 
-// A host that drains goes as soon as it has written all, and what its socket holds goes with it: a client that takes nothing
-// meanwhile had lost the end, or all that the host gave before it broke off. The host goes on once it is told that it drains, and
-// resets its connection once its socket holds nothing.
+// A draining host exits as soon as it has written everything, and the content of its socket is lost
+// with it. A client that reads nothing meanwhile used to lose the end of the response, or, if that
+// broke off, everything that had been sent. Here the host continues once it drains, and resets its
+// connection once its socket is empty.
 func ExampleDispatcher_streamResponse_drainingHost() {
-	// What a machine takes in for a program is bounded by it. The whole is far over what comes along without being asked for, if it can be.
+	// The system bounds receive buffers. The response is far larger than what fits without a larger
+	// buffer, if the system allows one.
 	maxReceiveBuffer, size := 0, 3*megabyte
 	if text, err := os.ReadFile("/proc/sys/net/core/rmem_max"); err == nil {
 		fmt.Sscan(string(text), &maxReceiveBuffer)
@@ -343,8 +345,8 @@
 	// broken off: host gave all: true, its socket holds 0, client has all: true unexpected EOF
 }
 
-// slowClientOfDrainingHost is a client whose answer has begun and which takes no more of it, so that the gateway waits for it and looks at the
-// host meanwhile. The host, the only one, is told to drain then.
+// slowClientOfDrainingHost returns a client that reads only the beginning of its response, so that the
+// gateway waits for it and checks the host meanwhile. Then the only host is listed as draining.
 func (g *testGateway) slowClientOfDrainingHost(host protocol.HostEntry, began <-chan bool) *clientConn {
 	g.applyList(g.discovery.conn, 1, &protocol.HostList{Revision: 5, Full: true, Hosts: []protocol.HostEntry{host}})
 	c := g.dial()
@@ -357,9 +359,10 @@
 	return c
 }
 
-// An answer that says neither its length nor its chunks is whole where its host closes the connection, and broken off where that is reset. The
-// order that lost requests: the host drains, so the gateway looks whether more has come, and the reset is there as it looks. On Linux a look
-// takes a connection's error with it, and the next read finds a proper end.
+// A response without length or chunks is complete if its host closes the connection, and broken off if
+// the connection is reset. Truncated responses passed as complete when the host drained and the
+// gateway checked for more data just as the reset arrived: on Linux the check consumes the socket's
+// error, and the next read finds a regular end.
 func ExampleDispatcher_streamResponse_resetWithoutLength() {
 	const size = megabyte
 	for _, end := range []string{"closed", "reset"} {
@@ -396,8 +399,8 @@
 	// reset: client has all that came: true, whole: false, cut off: 1
 }
 
-// A client closes while its answer is under way and its host has fallen silent: the host's connection is given up at once. It was kept for the
-// ten seconds for which a host may be silent, each time that a client gave up on such an answer.
+// If a client closes while its response is streamed and the host is silent, the host's connection is
+// closed at once. It used to be kept for the ten seconds for which a host may be silent.
 func ExampleDispatcher_streamResponse_clientLeaves() {
 	silent, ended := make(chan bool), make(chan time.Time)
 	s := newGatewayWithScriptedHost(func(nc net.Conn, head *http.Request) {
