--- a/internal/routing/list_propagation_test.go
+++ b/internal/routing/list_propagation_test.go
@@ -92,7 +92,7 @@
 	knownAt   time.Duration
 }
 
-const networkDelay = time.Millisecond // networkDelay is the delay one way.
+const networkDelay = time.Millisecond // one way
 
 func (w *simulatedWatcher) startCall() {
 	f := w.fleet
