--- a/internal/routing/operations_test.go
+++ b/internal/routing/operations_test.go
@@ -80,6 +80,8 @@
 	c = s.dial()
 	io.WriteString(c, requestText("read", "wait", ""))
 	s.waitForLine("one: GET /read?wait")
+	// Clients have their responses, and hosts their requests, before the gateway counts them as written.
+	s.waitFor("all written counted", func() bool { return s.Counters.OpenTransactions.Load() == 1 && s.Counters.HopsWritten.Load() == 6 })
 	fmt.Println(string(s.MetricsJSON()))
 	c.Close()
 	s.waitForLine("one: given up")
--- a/internal/routing/stream_test.go
+++ b/internal/routing/stream_test.go
@@ -49,6 +49,16 @@
 
 func testBytes(n int) []byte { return bytes.Repeat([]byte("0123456789abcdef"), n/16+1)[:n] }
 
+// waitForNoneOpen waits until no transaction is open, for 5 seconds at most: a client has the last byte
+// of its response before the gateway takes the transaction off its counters.
+func (g *testGateway) waitForNoneOpen() {
+	g.waitFor("no transaction open", func() bool {
+		g.Dispatcher.mu.Lock()
+		defer g.Dispatcher.mu.Unlock()
+		return g.Counters.OpenTransactions.Load() == 0 && len(g.txs) == 0
+	})
+}
+
 // A response over the usual size is streamed, whatever marks its end, also to a slow client, and its
 // first bytes don't wait for the last. One that breaks off does so for the client too. One that is too
 // long, or an error, counts as possibly run. The core gets no further report on a streamed response.
@@ -131,6 +141,7 @@
 	get("torn-chunks", "HTTP/1.0", false)
 	get("error", "HTTP/1.1", false)
 	get("too-long", "HTTP/1.1", false)
+	s.waitForNoneOpen()
 	fmt.Println("streamed:", s.Counters.ResponsesStreamed.Load(), "cut off:", s.Counters.ResponsesCutOff.Load(), "open:", s.Counters.OpenTransactions.Load(), len(s.txs))
 	// Output:
 	// sized HTTP/1.1 200 3145728 [] 3145728 true
@@ -207,6 +218,7 @@
 	s.logResponse(c, "stops")
 	s.logf("%s", <-hostErrors)
 	s.printLog()
+	s.waitForNoneOpen()
 	fmt.Println("written whole:", s.Counters.HopsWritten.Load(), "open:", s.Counters.OpenTransactions.Load())
 	// Output:
 	// sized: 200 "3145728 []"
