--- a/internal/routing/client_leaves_test.go
+++ b/internal/routing/client_leaves_test.go
@@ -167,8 +167,8 @@
 
 // partialPayRequest is a request of which that many bytes of the body have been sent, and more are
 // due.
-func partialPayRequest(id string, received int) string {
-	return strings.Replace(payRequest(id), "Length: 2", "Length: 8000000", 1) + strings.Repeat("a", received)
+func partialPayRequest(id string, bodyBytes int) string {
+	return strings.Replace(payRequest(id), "Length: 2", "Length: 8000000", 1) + strings.Repeat("a", bodyBytes)
 }
 
 // releaseDials makes the held connections come up, or fail.
--- a/internal/routing/handover.go
+++ b/internal/routing/handover.go
@@ -131,9 +131,9 @@
 }
 
 // writePending writes what is pending, or part of it.
-func (s *responseStream) writePending(short bool) (err error) {
+func (s *responseStream) writePending(brief bool) (err error) {
 	before := totalLen(s.pending)
-	if s.pending, err = s.client.WriteStream(s.pending, short); err == nil {
+	if s.pending, err = s.client.WriteStream(s.pending, brief); err == nil {
 		s.pending = nil
 	}
 	if before == 0 || totalLen(s.pending) < before {
--- a/internal/routing/large_fleet_test.go
+++ b/internal/routing/large_fleet_test.go
@@ -116,11 +116,11 @@
 }
 
 // eventually waits until the condition holds, or fails the test.
-func eventually(t *testing.T, within time.Duration, what string, condition func() bool) {
+func eventually(t *testing.T, timeout time.Duration, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(within); !condition(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("not within %v: %s", within, what)
+	for deadline := time.Now().Add(timeout); !condition(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("not within %v: %s", timeout, what)
 		}
 	}
 }
@@ -187,14 +187,14 @@
 }
 
 // receive returns the messages that each socket receives within a time, up to maxMessages each.
-func (p peerSockets) receive(within time.Duration, maxMessages int) (got [][][]byte) {
+func (p peerSockets) receive(timeout time.Duration, maxMessages int) (got [][][]byte) {
 	got = make([][][]byte, len(p))
 	var all sync.WaitGroup
 	for i, c := range p {
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			c.SetReadDeadline(time.Now().Add(within))
+			c.SetReadDeadline(time.Now().Add(timeout))
 			for msg := make([]byte, 512); len(got[i]) < maxMessages; {
 				n, err := c.Read(msg)
 				if err != nil {
@@ -226,37 +226,37 @@
 	at := netip.MustParseAddrPort(own)
 	d.mu.Lock()
 	for i, c := range peers {
-		var out []logic.PeerEntry // as many as fit in a datagram: a hop in flight at one host, and none any more at others
+		var inFlight []logic.PeerEntry // as many as fit in a datagram: a hop in flight at one host, and none any more at others
 		for k := range entriesPerDatagram {
 			id, _ := d.discovery.hostIDFor(fmt.Sprintf("host-%08x", (i+k)%largeFleetSize))
-			out = append(out, logic.PeerEntry{Kind: logic.EntryInFlight, Host: id, InFlight: 1 / (1 + k)})
+			inFlight = append(inFlight, logic.PeerEntry{Kind: logic.EntryInFlight, Host: id, InFlight: 1 / (1 + k)})
 		}
-		for msg := range d.core.EncodePeerMessages(out) {
+		for msg := range d.core.EncodePeerMessages(inFlight) {
 			c.WriteToUDPAddrPort(msg, at)
 		}
 		for msg := range d.core.EncodePeerMessages([]logic.PeerEntry{{Kind: logic.EntryPickRequest}}) {
 			c.WriteToUDPAddrPort(msg, at)
 		}
 	}
-	asked := time.Now()
+	sentAt := time.Now()
 	d.mu.Unlock()
-	answered := map[logic.HostID]int{}
+	picked := map[logic.HostID]int{}
 	for i, got := range peers.receive(10*time.Second, 1) {
 		if len(got) != 1 {
 			t.Fatalf("gateway %d: %d answers", i+1, len(got))
 		}
-		held, err := d.core.DecodePeerMessage(got[0])
-		if err != nil || len(held) != 1 || held[0].Kind != logic.EntryPickResponse || held[0].Host == 0 {
-			t.Fatalf("gateway %d is answered %+v, %v", i+1, held, err)
+		entries, err := d.core.DecodePeerMessage(got[0])
+		if err != nil || len(entries) != 1 || entries[0].Kind != logic.EntryPickResponse || entries[0].Host == 0 {
+			t.Fatalf("gateway %d is answered %+v, %v", i+1, entries, err)
 		}
-		answered[held[0].Host]++
+		picked[entries[0].Host]++
 	}
-	t.Logf("%d asks answered within %v", len(peers), time.Since(asked))
-	if told := d.Counters.PeerMessagesReceived.Load(); told != 2*int64(len(peers)) || d.Counters.PeerMessagesInvalid.Load() != 0 {
-		t.Errorf("%d datagrams taken, %d dropped", told, d.Counters.PeerMessagesInvalid.Load())
+	t.Logf("%d asks answered within %v", len(peers), time.Since(sentAt))
+	if received := d.Counters.PeerMessagesReceived.Load(); received != 2*int64(len(peers)) || d.Counters.PeerMessagesInvalid.Load() != 0 {
+		t.Errorf("%d datagrams taken, %d dropped", received, d.Counters.PeerMessagesInvalid.Load())
 	}
-	if len(answered) < largeFleetSize/4 {
-		t.Errorf("only %d hosts are drawn", len(answered))
+	if len(picked) < largeFleetSize/4 {
+		t.Errorf("only %d hosts are drawn", len(picked))
 	}
 	before.checkGrowth(t, 0)
 }
@@ -310,23 +310,23 @@
 	predecessor := newTestDispatcher(t, largeFleetSettings(), 400)
 	predecessor.Start(7, silentDiscovery, known())
 	predecessor.callCore(func(now time.Duration) {
-		what := predecessor.core.ExportLearned(now)
-		for i := range what.Hosts {
-			h := &what.Hosts[i]
+		state := predecessor.core.ExportLearned(now)
+		for i := range state.Hosts {
+			h := &state.Hosts[i]
 			h.Weight, h.Pace, h.Latency = 0.5+float64(i)/largeFleetSize/3, logic.SmoothedMean{Value: 1.0 / 3, N: 7}, logic.SmoothedMean{Value: 1e9 / 3, N: 1e4 / 3}
 			h.Share, h.Open, h.Cool = 1.0/3, 4*time.Second, 5*time.Second
 		}
-		predecessor.core.ImportLearned(now, what, 0)
+		predecessor.core.ImportLearned(now, state, 0)
 	})
 	if err := predecessor.ListenForHandover(path); err != nil {
 		t.Fatal(err)
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	successor := newTestDispatcher(t, largeFleetSettings(), 400)
 	if err := successor.ListenForHandover(path); err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%d bytes handed over within %v", len(predecessor.encodeLearnedState()), time.Since(began))
+	t.Logf("%d bytes handed over within %v", len(predecessor.encodeLearnedState()), time.Since(startedAt))
 	addr, lists := startDiscovery(t)
 	successor.Start(7, addr, nil)
 	lists <- marshalJSON(t, known())
--- a/internal/routing/list_propagation_test.go
+++ b/internal/routing/list_propagation_test.go
@@ -355,7 +355,7 @@
 
 // handle answers a call: first with the old list, then it fails the waiting watch, and after that
 // returns the drain.
-func (d *failingDiscovery) handle(nc net.Conn, index string) (keep bool) {
+func (d *failingDiscovery) handle(nc net.Conn, revision string) (keep bool) {
 	write := func(status, list string) {
 		fmt.Fprintf(nc, "HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", status, len(list), list)
 	}
@@ -363,10 +363,10 @@
 		return fmt.Sprintf(`{"uid":"one","az":"a","endpoint":%q,"state":%q}`, d.host, state)
 	}
 	switch {
-	case index == "":
+	case revision == "":
 		write("200 OK", `{"rev":5,"all":true,"targets":[`+entry("in_service")+`]}`)
 		return true
-	case index == "6": // everything is known
+	case revision == "6": // everything is known
 		return true
 	case d.failed.Load() && time.Now().After(d.changedAt):
 		if d.fault == "overbooked" {
--- a/internal/routing/operations_test.go
+++ b/internal/routing/operations_test.go
@@ -70,8 +70,8 @@
 // ejected.
 func ExampleDispatcher_MetricsJSON() {
 	s := newTestGateway("one", "down")
-	for _, do := range []string{"go", "go", "error", "decline", "full"} {
-		s.roundTrip("pay", do)
+	for _, action := range []string{"go", "go", "error", "decline", "full"} {
+		s.roundTrip("pay", action)
 	}
 	s.roundTrip("nothing", "go")
 	c := s.dial()
@@ -152,8 +152,8 @@
 		s.SendPeerMessage(1, []logic.PeerEntry{{Kind: logic.EntryPickRequest, InFlight: 1}, {Kind: logic.EntryPickRequest}, {Kind: logic.EntryInFlight}})
 	})
 	var peerAddr netip.AddrPort
-	for addr, number := range s.peers.indexByAddr { // the order doesn't matter: one belongs to the other gateway
-		if number == 1 {
+	for addr, index := range s.peers.indexByAddr { // the order doesn't matter: one belongs to the other gateway
+		if index == 1 {
 			peerAddr = addr
 		}
 	}
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -189,10 +189,10 @@
 }
 
 // waitFor waits until the condition holds, for 5 seconds at most.
-func (g *testGateway) waitFor(what string, condition func() bool) {
+func (g *testGateway) waitFor(event string, condition func() bool) {
 	for deadline := time.Now().Add(5 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			g.logf("never: %s", what)
+			g.logf("never: %s", event)
 			return
 		}
 	}
--- a/internal/routing/stream_test.go
+++ b/internal/routing/stream_test.go
@@ -65,15 +65,15 @@
 func ExampleDispatcher_streamResponse() {
 	goOn := make(chan bool)
 	s := newGatewayWithScriptedHost(func(nc net.Conn, head *http.Request) {
-		long := testBytes(3 * megabyte)
+		body := testBytes(3 * megabyte)
 		switch action := head.URL.RawQuery; action {
 		case "sized":
-			fmt.Fprintf(nc, "HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(long), long[:70_000])
+			fmt.Fprintf(nc, "HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body[:70_000])
 			<-goOn
-			nc.Write(long[70_000:])
+			nc.Write(body[70_000:])
 		case "chunks", "torn-chunks":
 			io.WriteString(nc, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-			for rest := long; len(rest) > 0; rest = rest[min(len(rest), 99_999):] {
+			for rest := body; len(rest) > 0; rest = rest[min(len(rest), 99_999):] {
 				fmt.Fprintf(nc, "%x;x=y\r\n%s\r\n", min(len(rest), 99_999), rest[:min(len(rest), 99_999)])
 			}
 			if action == "torn-chunks" {
@@ -81,17 +81,17 @@
 			}
 			io.WriteString(nc, "0\r\nTrailer: t\r\n\r\n")
 		case "close":
-			fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\n\r\n%s", long)
+			fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\n\r\n%s", body)
 			nc.Close()
 		case "torn":
-			fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(long), long[:200_000])
+			fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body[:200_000])
 			nc.Close()
 		case "head":
-			fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(long))
+			fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(body))
 		case "declined":
-			fmt.Fprintf(nc, "HTTP/1.1 400 no\r\nContent-Length: %d\r\n\r\n%s", len(long), long)
+			fmt.Fprintf(nc, "HTTP/1.1 400 no\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		case "error":
-			fmt.Fprintf(nc, "HTTP/1.1 500 no\r\nContent-Length: %d\r\n\r\n%s", len(long), long)
+			fmt.Fprintf(nc, "HTTP/1.1 500 no\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		case "too-long":
 			io.WriteString(nc, "HTTP/1.1 200 OK\r\nContent-Length: 33554433\r\n\r\n")
 		}
@@ -112,13 +112,13 @@
 			fmt.Println(action, version, "closed")
 			return
 		}
-		n, sum, piece := 0, crc32.NewIEEE(), make([]byte, 64<<10)
+		n, checksum, piece := 0, crc32.NewIEEE(), make([]byte, 64<<10)
 		for err = nil; err == nil; {
 			var k int
 			if k, err = r.Body.Read(piece); k > 0 && n == 0 && action == "sized" {
 				goOn <- true // the rest is sent only once the first bytes have arrived
 			}
-			sum.Write(piece[:k])
+			checksum.Write(piece[:k])
 			if n += k; slowly {
 				time.Sleep(time.Millisecond)
 			}
@@ -127,7 +127,7 @@
 			fmt.Println(action, version, r.StatusCode, "broken off:", n > 0)
 			return
 		}
-		fmt.Println(action, version, r.StatusCode, r.ContentLength, r.TransferEncoding, n, sum.Sum32() == crc32.ChecksumIEEE(testBytes(3*megabyte)))
+		fmt.Println(action, version, r.StatusCode, r.ContentLength, r.TransferEncoding, n, checksum.Sum32() == crc32.ChecksumIEEE(testBytes(3*megabyte)))
 	}
 	get("sized", "HTTP/1.1", true)
 	get("sized", "HTTP/1.0", false)
@@ -176,8 +176,8 @@
 			nc.Close()
 			return
 		}
-		answer := fmt.Sprint(n, head.TransferEncoding)
-		fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(answer), answer)
+		response := fmt.Sprint(n, head.TransferEncoding)
+		fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(response), response)
 	})
 	s.bodyBudget.Store(0) // no budget to hold any body
 	begin := func(action, framing string) *clientConn {
@@ -275,16 +275,16 @@
 	defer c.Close()
 	began := time.Now()
 	io.WriteString(c, requestText("read", "slowly", ""))
-	answer, err := http.ReadResponse(c.reader, nil)
+	response, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		panic(err)
 	}
 	first := time.Since(began)
-	body, err := io.ReadAll(answer.Body)
-	fmt.Println(answer.StatusCode, string(body), err, "head at once:", first < 400*time.Millisecond, "longer than its time:", time.Since(began) > time.Second)
+	body, err := io.ReadAll(response.Body)
+	fmt.Println(response.StatusCode, string(body), err, "head at once:", first < 400*time.Millisecond, "longer than its time:", time.Since(began) > time.Second)
 	io.WriteString(c, requestText("read", "slowly", "again"))
-	answer, err = http.ReadResponse(c.reader, nil)
-	fmt.Println(answer != nil, err)
+	response, err = http.ReadResponse(c.reader, nil)
+	fmt.Println(response != nil, err)
 	// Output:
 	// 200 0123456789abcdefvwxyz <nil> head at once: true longer than its time: true
 	// true <nil>
@@ -343,11 +343,11 @@
 		c := s.slowClientOfDrainingHost(host, began)
 		close(drains)
 		fmt.Print(form, ": ", <-gone)
-		answer, err := http.ReadResponse(c.reader, nil)
+		response, err := http.ReadResponse(c.reader, nil)
 		if err != nil {
 			panic(err)
 		}
-		n, err := io.Copy(io.Discard, answer.Body)
+		n, err := io.Copy(io.Discard, response.Body)
 		fmt.Println(", client has all:", n == int64(size), err)
 		c.Close()
 	}
@@ -398,11 +398,11 @@
 		c := s.slowClientOfDrainingHost(host, began)
 		close(drains)
 		<-ended
-		answer, err := http.ReadResponse(c.reader, nil)
+		response, err := http.ReadResponse(c.reader, nil)
 		if err != nil {
 			panic(err)
 		}
-		n, err := io.Copy(io.Discard, answer.Body)
+		n, err := io.Copy(io.Discard, response.Body)
 		fmt.Printf("%s: client has all that came: %v, whole: %v, cut off: %d\n", end, n == size, err == nil, s.Counters.ResponsesCutOff.Load())
 		c.Close()
 	}
@@ -424,11 +424,11 @@
 	c := s.dial()
 	io.WriteString(c, requestText("read", "long", ""))
 	<-silent
-	answer, err := http.ReadResponse(c.reader, nil)
+	response, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		panic(err)
 	}
-	io.ReadFull(answer.Body, make([]byte, 80_000))
+	io.ReadFull(response.Body, make([]byte, 80_000))
 	left := time.Now()
 	c.Close()
 	fmt.Println("host's connection given up within a second:", (<-ended).Sub(left) < time.Second)
