--- a/internal/control/server_test.go
+++ b/internal/control/server_test.go
@@ -19,6 +19,7 @@
 	return true
 }
 
+// startTestServer starts an admin server; call sends a request and returns the status and body of the response.
 func startTestServer() (*AdminServer, func(call string) string) {
 	server, err := Listen("127.0.0.1:0", &stubGateway{})
 	if err != nil {
--- a/internal/routing/client_leaves_test.go
+++ b/internal/routing/client_leaves_test.go
@@ -73,6 +73,7 @@
 	return l
 }
 
+// runHost serves one host: it records the start of each hop, and waits or answers at once as holdsHosts says.
 func (l *leavingClients) runHost(ln net.Listener) {
 	for {
 		nc, err := ln.Accept()
@@ -192,6 +193,7 @@
 	l.waitFor("hops there", func() bool { l.hopsMu.Lock(); defer l.hopsMu.Unlock(); return len(l.hopStarted) == hops })
 }
 
+// waitForAdmission waits until all transactions are admitted.
 func (l *leavingClients) waitForAdmission() {
 	l.waitFor("taken", func() bool { return l.Counters.Admitted.Load() >= int64(l.count) })
 	l.callCore(func(time.Duration) {}) // waits for the call that admitted the last one
--- a/internal/routing/handover.go
+++ b/internal/routing/handover.go
@@ -28,7 +28,7 @@
 	Host                 logic.HostID
 	Body                 protocol.BodyState
 	Framing              protocol.StreamFraming
-	Closing              bool
+	Closing              bool // the client's connection closes after the response
 	Last                 bool // the host has sent everything
 	RequestsLearnedState bool `json:"Asks"` // asks for the learned state; nothing is handed over
 }
--- a/internal/routing/interruptions_test.go
+++ b/internal/routing/interruptions_test.go
@@ -25,6 +25,7 @@
 	dials, gate chan bool
 }
 
+// newGatedGateway returns a gated gateway whose hops may be called off or not.
 func newGatedGateway(cancelling bool, hosts ...string) *gatedGateway {
 	g := &gatedGateway{newTestGatewayWith(strings.Replace(testSettings, `"cancelling":true`, fmt.Sprintf(`"cancelling":%t`, cancelling), 1), hosts...),
 		make(chan bool, 9), make(chan bool)}
@@ -45,12 +46,14 @@
 	return slices.ContainsFunc(g.log, func(l string) bool { return strings.HasPrefix(l, "never") })
 }
 
+// closeModes are the ways in which a client ends its connection: regularly, with a reset, or by closing its sending half alone.
 var closeModes = map[string]func(*clientConn){
 	"closes": func(c *clientConn) { c.Close() },
 	"resets": func(c *clientConn) { c.Conn.(*net.TCPConn).SetLinger(0); c.Close() },
 	"halves": func(c *clientConn) { c.Conn.(*net.TCPConn).CloseWrite() },
 }
 
+// waitForClientsLeft waits until the gateway has noticed that n clients have left.
 func (g *testGateway) waitForClientsLeft(n int64) {
 	g.waitFor("client seen to leave", func() bool { return g.Counters.ClientLeft.Load()+g.Counters.ClientLeftBeforeAdmission.Load() == n })
 }
--- a/internal/routing/large_fleet_test.go
+++ b/internal/routing/large_fleet_test.go
@@ -55,6 +55,7 @@
 	goroutines int
 }
 
+// measureUsage measures after a garbage collection.
 func measureUsage() resourceUsage {
 	var m runtime.MemStats
 	runtime.GC()
@@ -71,7 +72,7 @@
 		t.Errorf("live heap grew by %d KB", (now.heap-c.heap)>>10)
 	}
 	if n := now.goroutines - c.goroutines - testGoroutines; n > maxLargeFleetGoroutines {
-		t.Errorf("%d goroutines more", n)
+		t.Errorf("%d more goroutines", n)
 	}
 }
 
@@ -165,6 +166,7 @@
 // peerSockets are the sockets of the other gateways.
 type peerSockets []*net.UDPConn
 
+// openPeers opens a socket for each gateway of the fleet.
 func openPeers(t *testing.T) (sockets peerSockets, addrs []string) {
 	for range largeFleetSize {
 		c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -247,16 +249,16 @@
 		}
 		entries, err := d.core.DecodePeerMessage(got[0])
 		if err != nil || len(entries) != 1 || entries[0].Kind != logic.EntryPickResponse || entries[0].Host == 0 {
-			t.Fatalf("gateway %d is answered %+v, %v", i+1, entries, err)
+			t.Fatalf("gateway %d received %+v, %v", i+1, entries, err)
 		}
 		picked[entries[0].Host]++
 	}
-	t.Logf("%d asks answered within %v", len(peers), time.Since(sentAt))
+	t.Logf("%d pick requests answered within %v", len(peers), time.Since(sentAt))
 	if received := d.Counters.PeerMessagesReceived.Load(); received != 2*int64(len(peers)) || d.Counters.PeerMessagesInvalid.Load() != 0 {
-		t.Errorf("%d datagrams taken, %d dropped", received, d.Counters.PeerMessagesInvalid.Load())
+		t.Errorf("%d datagrams accepted, %d dropped", received, d.Counters.PeerMessagesInvalid.Load())
 	}
 	if len(picked) < largeFleetSize/4 {
-		t.Errorf("only %d hosts are drawn", len(picked))
+		t.Errorf("only %d hosts were picked", len(picked))
 	}
 	before.checkGrowth(t, 0)
 }
@@ -295,7 +297,7 @@
 	}
 	d.callCore(func(time.Duration) { d.SendPeerMessage(largeFleetSize-1, entries[:1]) })
 	if got := peers[largeFleetSize-1:].receive(time.Second, 1); len(got[0]) != 1 {
-		t.Error("the last gateway is not told")
+		t.Error("the last gateway received nothing")
 	}
 }
 
@@ -340,7 +342,7 @@
 	for i := range stateAfter.Hosts {
 		a, b := stateBefore.Hosts[i], stateAfter.Hosts[i]
 		if a.ID != b.ID || a.Weight != b.Weight || a.Pace != b.Pace || a.Latency != b.Latency || a.Share != b.Share || b.Open <= 0 {
-			t.Fatalf("host %d: %+v was learnt, %+v is known", i, a, b)
+			t.Fatalf("host %d: %+v handed over, %+v received", i, a, b)
 		}
 	}
 }
--- a/internal/routing/list_propagation_test.go
+++ b/internal/routing/list_propagation_test.go
@@ -94,6 +94,7 @@
 
 const networkDelay = time.Millisecond // one way
 
+// startCall simulates a call: its timeout, and its turn or refusal at discovery.
 func (w *simulatedWatcher) startCall() {
 	f := w.fleet
 	w.call++
@@ -333,6 +334,7 @@
 	failed       atomic.Bool
 }
 
+// outageDuration is how long discovery is down or unresponsive in the failures that last.
 const outageDuration = 3 * time.Second
 
 func (d *failingDiscovery) serve() {
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -19,6 +19,7 @@
 	"spanmux/logic"
 )
 
+// testSettings are the settings of a gateway with one peer and a profile of each effect.
 const testSettings = `{"balancers":2,"dcs":["a"],"myZone":"a","discovery":"subscribe",` +
 	`"limits":{"mostHops":3,"mayTell":true,"cancelling":true,"retryAfter":true,"maxRetryAfter":500000,` +
 	`"connIdle":4000000,"connectTimeout":200000},"obligations":{"askWithin":200000,"warmUp":8000000,` +
@@ -36,8 +37,10 @@
 	discoveryResponses chan string // the next responses of discovery; "" stands for 503
 }
 
+// newTestGateway starts a gateway with hosts of the given UIDs; the one named down refuses connections.
 func newTestGateway(hosts ...string) *testGateway { return newTestGatewayWith(testSettings, hosts...) }
 
+// newTestGatewayWith is newTestGateway with other settings.
 func newTestGatewayWith(settings string, hosts ...string) *testGateway {
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
 	g := &testGateway{discoveryResponses: make(chan string, 9)}
@@ -68,6 +71,7 @@
 	return g
 }
 
+// startServer starts an HTTP server and returns its address.
 func (g *testGateway) startServer(h http.Handler) string {
 	return strings.TrimPrefix(httptest.NewServer(h).URL, "http://")
 }
@@ -126,6 +130,7 @@
 	}
 }
 
+// serveDiscovery answers a call once there is a response for it.
 func (g *testGateway) serveDiscovery(w http.ResponseWriter, r *http.Request) {
 	select {
 	case response := <-g.discoveryResponses:
@@ -181,6 +186,7 @@
 		map[bool]string{true: ", the last"}[response.Close], map[bool]string{true: ", torn"}[err != nil])
 }
 
+// roundTrip sends a request on a connection of its own and logs the response.
 func (g *testGateway) roundTrip(profile, action string) {
 	c := g.dial()
 	defer c.Close()
--- a/internal/routing/send.go
+++ b/internal/routing/send.go
@@ -19,8 +19,8 @@
 	tx           *tx
 	hostID       logic.HostID
 	target       transport.Target
-	index        int
-	sentAt       time.Time
+	index        int       // in tx.hops
+	sentAt       time.Time // of a streamed body: when its end was received
 	exchange     *transport.Exchange
 	response     *protocol.Response
 	fullyWritten bool // the request was written completely
