--- /dev/null
+++ b/internal/invariant/panic_debug.go
@@ -0,0 +1,6 @@
+//go:build debug
+
+package invariant
+
+// panicOnViolation is true in builds with the tag debug.
+const panicOnViolation = true
--- a/internal/invariant/release.go
+++ /dev/null
@@ -1,5 +0,0 @@
-//go:build !debug
-
-package invariant
-
-const asserting = false
--- /dev/null
+++ b/internal/protocol/encode.go
@@ -0,0 +1,175 @@
+package protocol
+
+import (
+	"net"
+	"net/http"
+	"strconv"
+	"time"
+)
+
+// Header fields that this protocol adds to HTTP.
+const (
+	traceIDField        = "X-Trace-Id"
+	profileField        = "X-Qos"
+	tenantField         = "X-Customer"
+	objectField         = "X-Object"
+	expiresInField      = "X-Expires-In-Ms"
+	idempotencyKeyField = "Idempotency-Key"
+	neverRanField       = "X-Never-Ran"
+	loadReportField     = "Endpoint-Load-Metrics"
+)
+
+// unforwardedFields are the header fields that concern a single connection, or that the gateway writes itself.
+var unforwardedFields = []string{"Connection", "Keep-Alive", "Proxy-Connection", "TE", "Trailer", "Transfer-Encoding",
+	"Upgrade", "Content-Length", "Expect", expiresInField, loadReportField, neverRanField}
+
+// appendForwardedFields appends the fields that are forwarded between client and host: all but unforwardedFields and
+// those that a Connection field names.
+func (h *Head) appendForwardedFields(dst []byte) []byte {
+next:
+	for _, f := range h.Fields {
+		for _, name := range unforwardedFields {
+			if equalFold(f.Name, name) {
+				continue next
+			}
+		}
+		for _, other := range h.Fields {
+			if equalFold(other.Name, "Connection") && listContains(other.Value, string(f.Name)) {
+				continue next
+			}
+		}
+		dst = append(append(append(append(dst, f.Name...), ": "...), f.Value...), "\r\n"...)
+	}
+	return dst
+}
+
+// EncodeForHost returns the request as it is written to a host, with the time for which the gateway waits for the
+// response. If RemainingBody is set it is the beginning of the request, and EncodePiece encodes the rest.
+func (t *Transaction) EncodeForHost(timeout time.Duration) net.Buffers {
+	lastFields := make([]byte, 0, 80)
+	lastFields = append(lastFields, expiresInField+": "...)
+	lastFields = strconv.AppendInt(lastFields, max(1, timeout.Milliseconds()), 10)
+	switch {
+	case t.RemainingBody != nil && t.bodyLength < 0:
+		return append(net.Buffers{t.forwardedHead, append(lastFields, "\r\nTransfer-Encoding: chunked\r\n\r\n"...)}, EncodeChunk(t.Body, false)...)
+	case t.RemainingBody != nil:
+		lastFields = strconv.AppendInt(append(lastFields, "\r\nContent-Length: "...), int64(t.bodyLength), 10)
+	case t.lengthGiven:
+		lastFields = strconv.AppendInt(append(lastFields, "\r\nContent-Length: "...), int64(len(t.Body)), 10)
+	}
+	return joinMessage(t.forwardedHead, append(lastFields, "\r\n\r\n"...), t.Body)
+}
+
+// EncodePiece encodes a further piece of the body for a host. last marks the end of the body.
+func (t *Transaction) EncodePiece(piece []byte, last bool) net.Buffers {
+	if t.bodyLength < 0 {
+		return EncodeChunk(piece, last)
+	}
+	return net.Buffers{piece}
+}
+
+// joinMessage returns the parts of a message for one gathered write, without an empty body.
+func joinMessage(head, lastFields, body []byte) net.Buffers {
+	if len(body) == 0 {
+		return net.Buffers{head, lastFields}
+	}
+	return net.Buffers{head, lastFields, body}
+}
+
+// EncodeGet returns a GET request without a body, as for probes and the host list.
+func EncodeGet(target, host string) net.Buffers {
+	return net.Buffers{[]byte("GET " + target + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n")}
+}
+
+// ContinueResponse asks a client that sent "Expect: 100-continue" for the body.
+var ContinueResponse = []byte("HTTP/1.1 100 Continue\r\n\r\n")
+
+// TextResponse returns a response of the gateway itself to a client. retryAfter is the value of its Retry-After, which
+// is left out if that is 0. closeConn announces that the connection closes after the response, as in all functions
+// below.
+func TextResponse(status int, text string, retryAfter time.Duration, closeConn bool) net.Buffers {
+	head := append(appendStatusLine(nil, status), "Content-Type: text/plain\r\n"...)
+	if retryAfter > 0 {
+		head = append(head, "Retry-After: "...)
+		head = append(strconv.AppendFloat(head, retryAfter.Seconds(), 'f', 3, 64), "\r\n"...)
+	}
+	return joinMessage(head, endHeadWithLength(len(text), closeConn), []byte(text))
+}
+
+// AdminResponse returns a response of the admin API, after which the connection closes. allow is the value of its Allow
+// field, which is left out if that is empty. A body that begins with a brace is sent as JSON.
+func AdminResponse(status int, allow string, body []byte) net.Buffers {
+	head := appendStatusLine(nil, status)
+	if allow != "" {
+		head = append(append(append(head, "Allow: "...), allow...), "\r\n"...)
+	}
+	if len(body) > 0 && body[0] == '{' {
+		head = append(head, "Content-Type: application/json\r\n"...)
+	} else {
+		head = append(head, "Content-Type: text/plain\r\n"...)
+	}
+	return joinMessage(head, endHeadWithLength(len(body), true), body)
+}
+
+// appendStatusLine appends the status line of a response.
+func appendStatusLine(dst []byte, status int) []byte {
+	dst = strconv.AppendInt(append(dst, "HTTP/1.1 "...), int64(status), 10)
+	return append(append(append(dst, ' '), http.StatusText(status)...), "\r\n"...)
+}
+
+// EncodeForClient returns a host's response as it is forwarded to the client. It has a Content-Length if the length is
+// known, even without the body, as in the response to a HEAD.
+func (r *Response) EncodeForClient(closeConn bool) net.Buffers {
+	if r.bodyLength < 0 { // the response to a HEAD may lack the length
+		return net.Buffers{r.forwardedHead, endHead(nil, closeConn)}
+	}
+	return joinMessage(r.forwardedHead, endHeadWithLength(r.bodyLength, closeConn), r.Body)
+}
+
+// StreamFraming tells how the end of a streamed response is marked to the client. Its values are handed over to the
+// next process.
+type StreamFraming int
+
+const (
+	FramingLength  StreamFraming = iota // by Content-Length
+	FramingChunked                      // by the chunked coding
+	FramingClose                        // by closing the connection, as the client uses HTTP/1.0
+)
+
+// EncodeStreamStart returns the head of a streamed response as it is forwarded, with what has been read of its body,
+// and the framing of what follows. http10 is set if the client uses HTTP/1.0.
+func (r *Response) EncodeStreamStart(http10, closeConn bool) (net.Buffers, StreamFraming) {
+	switch {
+	case r.bodyLength >= 0:
+		return joinMessage(r.forwardedHead, endHeadWithLength(r.bodyLength, closeConn), r.Body), FramingLength
+	case http10:
+		return joinMessage(r.forwardedHead, endHead(nil, true), r.Body), FramingClose
+	}
+	return append(net.Buffers{r.forwardedHead, endHead([]byte("Transfer-Encoding: chunked\r\n"), closeConn)}, EncodeChunk(r.Body, false)...), FramingChunked
+}
+
+// EncodePiece encodes a further piece of a streamed response. last marks its end.
+func (f StreamFraming) EncodePiece(piece []byte, last bool) net.Buffers {
+	if f == FramingChunked {
+		return EncodeChunk(piece, last)
+	}
+	return net.Buffers{piece}
+}
+
+// endHead appends the end of a head to its last fields.
+func endHead(lastFields []byte, closeConn bool) []byte {
+	if closeConn {
+		lastFields = append(lastFields, "Connection: close\r\n"...)
+	}
+	return append(lastFields, "\r\n"...)
+}
+
+// endHeadWithLength returns the end of a head, with a Content-Length.
+func endHeadWithLength(length int, closeConn bool) []byte {
+	lastFields := append(make([]byte, 0, 64), "Content-Length: "...)
+	lastFields = strconv.AppendInt(lastFields, int64(length), 10)
+	if closeConn {
+		lastFields = append(lastFields, "\r\nConnection: close"...)
+	}
+	return append(lastFields, "\r\n\r\n"...)
+}
--- a/internal/transport/client_write.go
+++ b/internal/transport/client_write.go
@@ -24,13 +24,13 @@
 	return err
 }
 
-// WriteStream writes part of a streamed response within streamWriteTimeout, or within streamWriteBriefTimeout
+// WriteStream writes part of a streamed response within streamWriteTimeout, or within briefStreamWriteTimeout
 // if brief is set because there is something else to do meanwhile. It returns the bytes that were not
 // written.
 func (c *Client) WriteStream(b net.Buffers, brief bool) (net.Buffers, error) {
 	timeout := streamWriteTimeout
 	if brief {
-		timeout = streamWriteBriefTimeout
+		timeout = briefStreamWriteTimeout
 	}
 	c.conn.SetWriteDeadline(time.Now().Add(timeout))
 	_, err := b.WriteTo(c.conn)
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -14,300 +14,320 @@
 	"spanmux/internal/invariant"
 )
 
-// Outcome tells how an exchange ended.
+// Outcome is how an exchange ended.
 type Outcome int
 
 const (
-	OutcomeAnswered      Outcome = iota
-	OutcomeConnectFailed         // no connection
-	OutcomeNotWritten            // it broke before the last byte was written
-	OutcomeBroken                // it broke after that, or the answer made no sense
-	OutcomeTimedOut
-	OutcomeCancelled
-	OutcomeNoSlot    // this process had no socket for it: never ran, and its host knows nothing of it
-	OutcomeWithdrawn // given up before its last byte was written, or not wanted any more as it was to be: never ran
+	OutcomeAnswered      Outcome = iota // ReadResponse succeeded
+	OutcomeConnectFailed                // no connection could be opened
+	OutcomeNotWritten                   // the connection broke before the last byte of the message was written
+	OutcomeBroken                       // the connection broke after that, or the response was malformed
+	OutcomeTimedOut                     // no complete response by the deadline
+	OutcomeCancelled                    // cancelled after the last byte was written
+	OutcomeNoSlot                       // the connection limit left no slot for it: nothing has run, and the host was not contacted
+	OutcomeWithdrawn                    // cancelled, or no longer wanted, before the last byte was written: nothing has run
 )
 
-// Exchange is one message to a host and what comes back. Done is called exactly once.
+// Exchange is one message to a host and its response. OnDone is called exactly once.
 type Exchange struct {
-	BuildMessage func() net.Buffers // made when it is written, so that it can say what time is left
+	BuildMessage func() net.Buffers // called when the message is written, so that it can contain the time that is left
 	Deadline     time.Time
-	// StillWanted is nil, or tells whether the message is still to be sent; it is asked as a connection is there. It may have been long in coming.
+	// StillWanted, if not nil, reports whether the message is still to be sent. It is called at the start and again
+	// when a new connection is open, since that may have taken long.
 	StillWanted  func() bool
-	ReadResponse func(*bufio.Reader) (keep bool, err error)
-	OnWritten    func() // nil, or called once the last byte of the message is written
-	OnDone       func(Outcome)
-	// StreamBody is nil, or takes what writes the rest where Message is only the beginning; it returns at once, and false where nothing
-	// is to be written any more. The time until which the exchange may take is given with the last piece.
+	ReadResponse func(*bufio.Reader) (keepAlive bool, err error) // keepAlive: the connection can be used again
+	OnWritten    func()                                          // called when the last byte of the message has been written; may be nil without StreamBody
+	OnDone       func(Outcome)                                   // called when the exchange has ended
+	// StreamBody is set if BuildMessage returns only the beginning of the message. It is called when that is written,
+	// with the writer for the rest, and returns without blocking; false ends the exchange. The time for the response
+	// is then given to BodyWriter.WriteLast.
 	StreamBody func(*BodyWriter) bool
-	// SlotWait is the time for which it waited for a socket of this process, which is none of its host's.
+	// SlotWait is the time that the exchange spent waiting for a slot of the connection limit, for which its host is
+	// not responsible.
 	SlotWait time.Duration
 
-	mu    sync.Mutex
-	given bool
-	begun bool // the last byte is written, or about to be
-	stop  func()
-	c     *hostConn // from when the message is written
+	mu             sync.Mutex
+	cancelled      bool
+	lastWriteBegun bool      // the last byte has been written or is about to be
+	stop           func()    // interrupts the exchange; nil before its start and after its end
+	hostConn       *hostConn // set when the message is written
 }
 
-// SetReadTimeout has what is read next of an answer that goes on come within a time.
-func (x *Exchange) SetReadTimeout(d time.Duration) { x.c.conn.SetReadDeadline(time.Now().Add(d)) }
+// SetReadTimeout sets the time for further reads of a response whose head has been read.
+func (x *Exchange) SetReadTimeout(timeout time.Duration) {
+	x.hostConn.conn.SetReadDeadline(time.Now().Add(timeout))
+}
 
-// FullyWritten tells, as its answer is read, whether the last byte of the message was written; if not, it never is.
-func (x *Exchange) FullyWritten() bool { return x.c.wasWhole() }
+// FullyWritten reports whether the last byte of the message has been written. It is called while the response is read;
+// if it returns false the rest of the message is never written.
+func (x *Exchange) FullyWritten() bool { return x.hostConn.checkFullyWritten() }
 
-// BodyWriter writes what is left of a message.
+// BodyWriter writes the rest of a message that BuildMessage has begun.
 type BodyWriter struct {
-	c *hostConn
-	x *Exchange
+	hostConn *hostConn
+	exchange *Exchange
 }
 
-// ErrUnwanted is a piece that is not written to its end, as nobody wants it any more.
-var ErrUnwanted = errors.New("not wanted any more")
-
-// Write writes a further piece as long as it is wanted; nothing has run as long as the last one is missing. A host may take none for long.
-func (r *BodyWriter) Write(piece net.Buffers, wanted func() bool) error {
-	for until := time.Now().Add(streamWriteTimeout); ; {
-		r.c.conn.SetWriteDeadline(time.Now().Add(wantedPollInterval))
-		_, err := piece.WriteTo(r.c.conn) // what has gone is not in it any more
-		if errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(until) {
-			if wanted() {
+// ErrUnwanted is returned by a write that ended early because the message is no longer wanted.
+var ErrUnwanted = errors.New("message no longer wanted")
+
+// Write writes a further piece, unless stillWanted returns false before it is written: a host may accept nothing for a
+// long time. The host runs nothing before it has the last piece.
+func (w *BodyWriter) Write(piece net.Buffers, stillWanted func() bool) error {
+	for deadline := time.Now().Add(streamWriteTimeout); ; {
+		w.hostConn.conn.SetWriteDeadline(time.Now().Add(stillWantedPollInterval))
+		_, err := piece.WriteTo(w.hostConn.conn) // removes from piece what has been written
+		if errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(deadline) {
+			if stillWanted() {
 				continue
 			}
 			return ErrUnwanted
 		}
 		if err != nil {
-			r.c.conn.Close()
+			w.hostConn.conn.Close()
 		}
 		return err
 	}
 }
 
-// Abort ends the connection before the last piece: nothing has run.
-func (r *BodyWriter) Abort() { r.c.conn.Close() }
+// Abort closes the connection instead of writing the last piece, so that nothing has run.
+func (w *BodyWriter) Abort() { w.hostConn.conn.Close() }
 
-// WriteLast writes the last piece; the answer is to come within a time from then on. It is written under the connection's lock: a host that
-// has all of it, and ends the connection at once, must not be taken for one that never had.
-func (r *BodyWriter) WriteLast(piece net.Buffers, within time.Duration, wanted func() bool) error {
-	r.c.mu.Lock()
-	defer r.c.mu.Unlock()
-	if r.c.out != r.x || !r.x.begin() {
+// WriteLast writes the last piece; the response must arrive within responseTimeout from then on. It holds the
+// connection's lock while it writes, so that a host which closes the connection as soon as it has the whole message is
+// not taken for one that never had it.
+func (w *BodyWriter) WriteLast(piece net.Buffers, responseTimeout time.Duration, stillWanted func() bool) error {
+	w.hostConn.mu.Lock()
+	defer w.hostConn.mu.Unlock()
+	if w.hostConn.exchange != w.exchange || !w.exchange.beginLastWrite() {
 		return net.ErrClosed
 	}
-	err := r.Write(piece, wanted)
+	err := w.Write(piece, stillWanted)
 	if errors.Is(err, ErrUnwanted) {
-		r.x.mu.Lock()
-		r.x.begun = false // it may be withdrawn yet
-		r.x.mu.Unlock()
+		w.exchange.mu.Lock()
+		w.exchange.lastWriteBegun = false // the exchange may still be withdrawn
+		w.exchange.mu.Unlock()
 	}
-	if r.c.whole = err == nil; r.c.whole {
-		r.x.Deadline = time.Now().Add(within)
-		r.c.conn.SetReadDeadline(r.x.Deadline)
-		r.x.OnWritten()
+	if w.hostConn.fullyWritten = err == nil; w.hostConn.fullyWritten {
+		w.exchange.Deadline = time.Now().Add(responseTimeout)
+		w.hostConn.conn.SetReadDeadline(w.exchange.Deadline)
+		w.exchange.OnWritten()
 	}
 	return err
 }
 
-// Cancel ends the exchange by closing its connection.
+// Cancel ends the exchange: it closes its connection, or stops the attempt to open one.
 func (x *Exchange) Cancel() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.given = true
+	x.cancelled = true
 	if x.stop != nil {
 		x.stop()
 	}
 }
 
-// CancelIfUnwritten ends the exchange unless its last byte is written: nothing of it has run, and the host need not hear more.
+// CancelIfUnwritten ends the exchange unless the last byte of the message has been written or is about to be. A host
+// runs nothing before it has that, so the exchange ends with OutcomeWithdrawn.
 func (x *Exchange) CancelIfUnwritten() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.given = x.given || !x.begun; !x.begun && x.stop != nil {
+	if x.cancelled = x.cancelled || !x.lastWriteBegun; !x.lastWriteBegun && x.stop != nil {
 		x.stop()
 	}
 }
 
-// begin says that the last byte is about to be written; it is false where the exchange was given up before.
-func (x *Exchange) begin() bool {
+// beginLastWrite records that the last byte of the message is about to be written. It returns false if the exchange was
+// cancelled before.
+func (x *Exchange) beginLastWrite() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.begun = !x.given
-	return x.begun
+	x.lastWriteBegun = !x.cancelled
+	return x.lastWriteBegun
 }
 
-func (x *Exchange) wanted() bool { return x.StillWanted == nil || x.StillWanted() }
+func (x *Exchange) isWanted() bool { return x.StillWanted == nil || x.StillWanted() }
 
-// stopBy says how the exchange is stopped from now on; it is false if that is due already.
-func (x *Exchange) stopBy(stop func()) bool {
+// setStop sets the function that interrupts the exchange. It returns false if the exchange is already cancelled.
+func (x *Exchange) setStop(stop func()) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.stop = stop
-	return !x.given
+	return !x.cancelled
 }
 
-// Target is a host as the pool knows it. Another host may come to the address of one that has gone: what is open to that
-// one must not serve it.
+// Target identifies a host in the pool. The host's ID is part of it because a new host may get the address of one that
+// is gone, and must not be served by connections to that one.
 type Target struct {
 	HostID uint32
 	Addr   string
 }
 
-// Pool keeps the connections to hosts. The one used last is used first, so that few are kept.
+// Pool holds the connections to hosts. Of the idle connections to a host the one used most recently is used first, so
+// that the others reach their idle time-out and few are kept.
 type Pool struct {
-	limit   *ConnLimit
-	Dial    func(ctx context.Context, network, addr string) (net.Conn, error) // opens one
-	within  time.Duration                                                     // for it to come up
-	idle    time.Duration                                                     // for which one is kept idle
-	mu      sync.Mutex
-	free    map[Target][]*hostConn
-	Opened  atomic.Int64
-	Evicted atomic.Int64 // idle connections closed for others
+	limit          *ConnLimit
+	Dial           func(ctx context.Context, network, addr string) (net.Conn, error) // opens a connection; a net.Dialer's by default
+	connectTimeout time.Duration                                                     // for opening a connection, the wait for a slot included
+	idleTimeout    time.Duration                                                     // for which an idle connection is kept
+	mu             sync.Mutex
+	idle           map[Target][]*hostConn // the one used most recently is last
+	Opened         atomic.Int64           // connections opened
+	Evicted        atomic.Int64           // idle connections closed so that others could have their slot
 }
 
-func NewPool(limit *ConnLimit, connectWithin, hostsKeepIdle time.Duration) *Pool {
-	p := &Pool{limit: limit, Dial: (&net.Dialer{}).DialContext, within: connectWithin, idle: hostsKeepIdle / hostIdleDivisor, free: map[Target][]*hostConn{}}
+// NewPool returns a Pool whose connections take slots of limit. connectTimeout is the time for opening a connection;
+// hostIdleTimeout is the time after which hosts close idle connections.
+func NewPool(limit *ConnLimit, connectTimeout, hostIdleTimeout time.Duration) *Pool {
+	p := &Pool{limit: limit, Dial: (&net.Dialer{}).DialContext, connectTimeout: connectTimeout, idleTimeout: hostIdleTimeout / hostIdleTimeoutDivisor, idle: map[Target][]*hostConn{}}
 	limit.AddEvictor(p.evict)
 	return p
 }
 
+// hostConn is a connection to a host. It carries one exchange at a time.
 type hostConn struct {
 	pool   *Pool
-	to     Target
+	target Target
 	conn   net.Conn
 	socket socketState
-	r      *bufio.Reader
+	reader *bufio.Reader
 
-	since     time.Time // idle since then; guarded by the pool, as is slotTaken
-	slotTaken bool      // its place under the limit is another's
+	// Guarded by the pool's lock.
+	idleSince       time.Time
+	slotTransferred bool // evicted: its slot of the connection limit belongs to another connection
 
-	mu    sync.Mutex // held while a message is written
-	out   *Exchange
-	whole bool // its last byte is written
-	dead  bool
+	mu           sync.Mutex // held while a message is written
+	exchange     *Exchange  // the exchange in progress, nil if there is none
+	fullyWritten bool       // the last byte of its message has been written
+	dead         bool       // the connection can't be used for another exchange
 }
 
-// Start sends an exchange to a host, on a connection that is idle or on a new one.
-func (p *Pool) Start(to Target, x *Exchange) {
-	if !x.wanted() {
+// Start begins an exchange with a host, on an idle connection or a new one.
+func (p *Pool) Start(target Target, x *Exchange) {
+	if !x.isWanted() {
 		x.OnDone(OutcomeWithdrawn)
 		return
 	}
-	for c := p.take(to); c != nil; c = p.take(to) {
+	for c := p.takeIdle(target); c != nil; c = p.takeIdle(target) {
 		if c.send(x) {
 			return
 		}
 	}
-	go p.dial(to, x)
+	go p.dial(target, x)
 }
 
-// take gives the idle connection that was used last.
-func (p *Pool) take(to Target) *hostConn {
+// takeIdle removes and returns the idle connection to a host that was used most recently, or nil if there is none.
+func (p *Pool) takeIdle(target Target) *hostConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	free := p.free[to]
-	if len(free) == 0 {
+	idle := p.idle[target]
+	if len(idle) == 0 {
 		return nil
 	}
-	c := free[len(free)-1]
-	p.keep(to, free[:len(free)-1])
+	c := idle[len(idle)-1]
+	p.setIdle(target, idle[:len(idle)-1])
 	return c
 }
 
-func (p *Pool) park(c *hostConn) {
-	c.conn.SetReadDeadline(time.Now().Add(p.idle))
+// putIdle makes a connection available for the next exchange, until its idle time-out.
+func (p *Pool) putIdle(c *hostConn) {
+	c.conn.SetReadDeadline(time.Now().Add(p.idleTimeout))
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c.since = time.Now()
-	p.free[c.to] = append(p.free[c.to], c)
+	c.idleSince = time.Now()
+	p.idle[c.target] = append(p.idle[c.target], c)
 }
 
-// keep is what is idle to a host from now on. Hosts come and go: one to which nothing is idle leaves no trace.
-func (p *Pool) keep(to Target, free []*hostConn) {
-	if p.free[to] = free; len(free) == 0 {
-		delete(p.free, to)
+// setIdle sets the idle connections to a host. Hosts without one have no entry, so that the map does not grow as hosts
+// come and go. The caller holds the lock.
+func (p *Pool) setIdle(target Target, idle []*hostConn) {
+	if p.idle[target] = idle; len(idle) == 0 {
+		delete(p.idle, target)
 	}
 }
 
-// drop forgets a connection that is closed.
-func (p *Pool) drop(c *hostConn) {
+// remove closes a connection, and releases its slot unless that belongs to another connection.
+func (p *Pool) remove(c *hostConn) {
 	p.mu.Lock()
-	p.forget(c)
-	slotTaken := c.slotTaken
+	p.removeIdle(c)
+	slotTransferred := c.slotTransferred
 	p.mu.Unlock()
 	c.conn.Close()
-	if !slotTaken {
+	if !slotTransferred {
 		p.limit.Release()
 	}
 }
 
-func (p *Pool) forget(c *hostConn) {
-	free := p.free[c.to]
-	if i := slices.Index(free, c); i >= 0 {
-		p.keep(c.to, slices.Delete(free, i, i+1))
+// removeIdle removes a connection from the idle ones, if it is among them. The caller holds the lock.
+func (p *Pool) removeIdle(c *hostConn) {
+	idle := p.idle[c.target]
+	if i := slices.Index(idle, c); i >= 0 {
+		p.setIdle(c.target, slices.Delete(idle, i, i+1))
 	}
 }
 
-// evict closes the connection that has been idle longest.
+// evict closes the connection that has been idle longest, and leaves its slot to the caller. It returns false if none
+// is idle.
 func (p *Pool) evict() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var oldest *hostConn
-	for _, free := range p.free { // in any order: the oldest is the same
-		if len(free) > 0 && (oldest == nil || free[0].since.Before(oldest.since)) {
-			oldest = free[0]
+	for _, idle := range p.idle { // in any order: the oldest is the same
+		if len(idle) > 0 && (oldest == nil || idle[0].idleSince.Before(oldest.idleSince)) {
+			oldest = idle[0]
 		}
 	}
 	if oldest == nil {
 		return false
 	}
-	p.forget(oldest)
+	p.removeIdle(oldest)
 	p.Evicted.Add(1)
-	oldest.slotTaken = true
+	oldest.slotTransferred = true
 	oldest.conn.Close()
 	return true
 }
 
-// CloseIdleTo closes the idle connections to a host to which nothing more is sent.
-func (p *Pool) CloseIdleTo(to Target) {
-	for c := p.take(to); c != nil; c = p.take(to) {
+// CloseIdleTo closes the idle connections to a host, which gets no further messages.
+func (p *Pool) CloseIdleTo(target Target) {
+	for c := p.takeIdle(target); c != nil; c = p.takeIdle(target) {
 		c.conn.Close()
 	}
 }
 
-// CloseAllIdle closes all on which nothing is out.
+// CloseAllIdle closes all connections without an exchange.
 func (p *Pool) CloseAllIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, free := range p.free { // in any order: all are closed
-		for _, c := range free {
+	for _, idle := range p.idle { // in any order: all are closed
+		for _, c := range idle {
 			c.conn.Close()
 		}
 	}
-	p.free = map[Target][]*hostConn{} // one that is closed must not be taken before it notices
+	p.idle = map[Target][]*hostConn{} // a closed connection must not be taken before its goroutine notices the close
 }
 
-func (p *Pool) dial(to Target, x *Exchange) {
-	ctx, cancel := context.WithDeadline(context.Background(), earlier(x.Deadline, time.Now().Add(p.within)))
+// dial opens a connection for an exchange and serves it until it is closed.
+func (p *Pool) dial(target Target, x *Exchange) {
+	ctx, cancel := context.WithDeadline(context.Background(), earlier(x.Deadline, time.Now().Add(p.connectTimeout)))
 	defer cancel()
-	if !x.stopBy(cancel) {
+	if !x.setStop(cancel) {
 		x.OnDone(OutcomeWithdrawn)
 		return
 	}
-	began := time.Now()
+	waitStart := time.Now()
 	acquired := p.limit.Acquire(ctx)
-	x.SlotWait = time.Since(began)
+	x.SlotWait = time.Since(waitStart)
 	if !acquired {
-		if x.stopBy(nil) {
+		if x.setStop(nil) {
 			x.OnDone(OutcomeNoSlot)
 		} else {
 			x.OnDone(OutcomeWithdrawn)
 		}
 		return
 	}
-	nc, err := p.Dial(ctx, "tcp", to.Addr)
+	conn, err := p.Dial(ctx, "tcp", target.Addr)
 	if err != nil {
 		p.limit.Release()
-		if x.stopBy(nil) {
+		if x.setStop(nil) {
 			x.OnDone(OutcomeConnectFailed)
 		} else {
 			x.OnDone(OutcomeWithdrawn)
@@ -315,15 +335,15 @@
 		return
 	}
 	p.Opened.Add(1)
-	if !x.wanted() { // it was long in coming up
-		nc.Close()
+	if !x.isWanted() { // connecting may have taken long
+		conn.Close()
 		p.limit.Release()
 		x.OnDone(OutcomeWithdrawn)
 		return
 	}
-	nc.(*net.TCPConn).SetWriteBuffer(sendBufferSize)
-	c := &hostConn{pool: p, to: to, conn: nc, socket: socketStateOf(nc), r: bufio.NewReaderSize(nc, hostBufferSize)}
-	if !c.send(x) { // its host speaks, or ends it, unasked
+	conn.(*net.TCPConn).SetWriteBuffer(sendBufferBytes)
+	c := &hostConn{pool: p, target: target, conn: conn, socket: socketStateOf(conn), reader: bufio.NewReaderSize(conn, hostReadBufferBytes)}
+	if !c.send(x) { // the host has sent something unasked, or closed the connection
 		x.OnDone(OutcomeNotWritten)
 	}
 	c.serve()
@@ -343,8 +363,9 @@
 	return a
 }
 
-// send writes the message; it is false if the connection has died idle, or is of no more use, and nothing was written. What
-// has come by then, behind an answer that was whole, must not be read as the answer to this message.
+// send writes the message of an exchange. It returns false, and writes nothing, if the connection can't be used: it was
+// closed while it was idle, or bytes have arrived behind the last response, which must not be read as the response to
+// this message.
 func (c *hostConn) send(x *Exchange) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -352,11 +373,11 @@
 		c.dead = true
 		return false
 	}
-	invariant.Check(c.out == nil, "one exchange a connection")
-	c.out, c.whole, x.c = x, false, c
+	invariant.Check(c.exchange == nil, "one exchange a connection")
+	c.exchange, c.fullyWritten, x.hostConn = x, false, c
 	c.conn.SetDeadline(x.Deadline)
-	if !x.stopBy(func() { c.conn.Close() }) || x.StreamBody == nil && !x.begin() {
-		c.conn.Close() // its goroutine ends the exchange
+	if !x.setStop(func() { c.conn.Close() }) || x.StreamBody == nil && !x.beginLastWrite() {
+		c.conn.Close() // serve, which reads, ends the exchange
 		return true
 	}
 	message := x.BuildMessage()
@@ -365,91 +386,93 @@
 	case err != nil:
 		c.conn.Close()
 	case x.StreamBody != nil:
-		x.Deadline = time.Now().Add(maxBodyTime)
+		x.Deadline = time.Now().Add(maxBodyDuration)
 		c.conn.SetReadDeadline(x.Deadline)
 		if !x.StreamBody(&BodyWriter{c, x}) {
 			c.conn.Close()
 		}
 	default:
-		if c.whole = true; x.OnWritten != nil {
+		if c.fullyWritten = true; x.OnWritten != nil {
 			x.OnWritten()
 		}
 	}
 	return true
 }
 
-// serve reads: answers while a message is out, the host's closing while none is.
+// serve reads from the connection until it is closed: the response during an exchange, the host's close between two.
 func (c *hostConn) serve() {
-	defer c.pool.drop(c)
+	defer c.pool.remove(c)
 	for {
 		err := c.socket.waitReadable()
-		x, late := c.await(err)
-		if late {
+		x, idleExpired := c.awaitedExchange(err)
+		if idleExpired {
 			continue
 		}
 		if x == nil {
 			return
 		}
-		keep := false
+		keepAlive := false
 		if err == nil {
-			keep, err = x.ReadResponse(c.r)
+			keepAlive, err = x.ReadResponse(c.reader)
 		}
-		whole := c.wasWhole()
-		how := x.ended(err, whole)
-		if keep = keep && whole && how == OutcomeAnswered && c.r.Buffered() == 0; keep {
-			c.release()
-			c.pool.park(c)
+		fullyWritten := c.checkFullyWritten()
+		outcome := x.finish(err, fullyWritten)
+		if keepAlive = keepAlive && fullyWritten && outcome == OutcomeAnswered && c.reader.Buffered() == 0; keepAlive {
+			c.clearExchange()
+			c.pool.putIdle(c)
 		}
-		x.OnDone(how)
-		if !keep {
+		x.OnDone(outcome)
+		if !keepAlive {
 			return
 		}
 	}
 }
 
-// await gives the exchange that is out. Where none is, the connection is dead from then on: the host has closed it,
-// it has been idle for too long, or something came that nobody has asked for. late tells that the time for which it
-// may stand idle was over just as a message was sent.
-func (c *hostConn) await(err error) (x *Exchange, late bool) {
+// awaitedExchange returns the exchange in progress when the wait for input has ended with err. If there is none the
+// connection is dead from then on: the host has closed it, its idle time-out has passed, or the host has sent something
+// unasked. idleExpired reports that the idle time-out passed just as a message was sent, so that the wait goes on.
+func (c *hostConn) awaitedExchange(err error) (x *Exchange, idleExpired bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.out == nil {
+	if c.exchange == nil {
 		c.dead = true
-	} else if errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(c.out.Deadline) {
+	} else if errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(c.exchange.Deadline) {
 		return nil, true
 	}
-	return c.out, false
+	return c.exchange, false
 }
 
-// wasWhole tells whether the last byte of the message was written; if not, it never is. A host may answer, or break off, before that.
-func (c *hostConn) wasWhole() bool {
+// checkFullyWritten reports whether the last byte of the message has been written; if not, it detaches the exchange so
+// that it never is. A host may respond, or close the connection, before it has the whole message.
+func (c *hostConn) checkFullyWritten() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.whole {
-		c.out = nil
+	if !c.fullyWritten {
+		c.exchange = nil
 	}
-	return c.whole
+	return c.fullyWritten
 }
 
-func (c *hostConn) release() {
+// clearExchange records that the exchange is over.
+func (c *hostConn) clearExchange() {
 	c.mu.Lock()
-	c.out = nil
+	c.exchange = nil
 	c.mu.Unlock()
 }
 
-// ended tells how the exchange ended; from then on it can't be given up.
-func (x *Exchange) ended(err error, whole bool) Outcome {
+// finish returns how the exchange ended, from the result of reading the response. It can't be cancelled from then on.
+func (x *Exchange) finish(err error, fullyWritten bool) Outcome {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.stop = nil
 	switch {
 	case err == nil:
 		return OutcomeAnswered
-	case x.given && !whole:
+	case x.cancelled && !fullyWritten:
 		return OutcomeWithdrawn
-	case x.given:
+	case x.cancelled:
 		return OutcomeCancelled
-	case !whole:
+	case !fullyWritten:
 		return OutcomeNotWritten
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return OutcomeTimedOut
