--- a/internal/routing/large_fleet_test.go
+++ b/internal/routing/large_fleet_test.go
@@ -22,20 +22,24 @@
 )
 
 const (
-	// largeFleetSize is how many gateways, and how many hosts, no part of the program may fall short of.
+	// largeFleetSize is the number of gateways, and of hosts, that every part of the program has to
+	// support.
 	largeFleetSize = 1024
-	// maxLargeFleetHeapBytes is what a gateway among so many may hold live for them: a sixteenth of a small gateway's 64 MB.
+	// maxLargeFleetHeapBytes bounds the live heap that a gateway needs for them: a sixteenth of a small
+	// gateway's 64 MB.
 	maxLargeFleetHeapBytes = 4 << 20
-	// maxLargeFleetGoroutines is how many it may have that are not there for clients or hosts' connections.
+	// maxLargeFleetGoroutines bounds its goroutines other than those for connections to clients and hosts.
 	maxLargeFleetGoroutines = 16
 )
 
-// largeFleetSettings is those of a gateway among so many, which draws for the zone that all hosts are of.
+// largeFleetSettings returns the settings of one gateway of the fleet, the coordinator of the zone
+// that all hosts are in.
 func largeFleetSettings() string {
 	return strings.Replace(testSettings, `"balancers":2`, fmt.Sprintf(`"balancers":%d`, largeFleetSize), 1)
 }
 
-// largeFleetHosts is a list of so many hosts. Each has an address of its own at one port of this machine.
+// largeFleetHosts returns a list of hosts, each with an address of its own and the same port of this
+// machine.
 func largeFleetHosts(port int, state string) []protocol.HostEntry {
 	entries := make([]protocol.HostEntry, largeFleetSize)
 	for i := range entries {
@@ -45,12 +49,13 @@
 	return entries
 }
 
-// resourceUsage is what has been added to this process's live heap, and to its goroutines, since it was begun.
+// resourceUsage is the live heap and the number of goroutines of this process.
 type resourceUsage struct {
 	heap       uint64
 	goroutines int
 }
 
+// measureUsage measures after a garbage collection.
 func measureUsage() resourceUsage {
 	var m runtime.MemStats
 	runtime.GC()
@@ -58,7 +63,7 @@
 	return resourceUsage{m.HeapAlloc, runtime.NumGoroutine()}
 }
 
-// checkGrowth reports what is over the bounds, beside so many goroutines of the test's own.
+// checkGrowth reports growth over the bounds; testGoroutines are not counted.
 func (c resourceUsage) checkGrowth(t *testing.T, testGoroutines int) {
 	t.Helper()
 	now := measureUsage()
@@ -67,11 +72,11 @@
 		t.Errorf("live heap grew by %d KB", (now.heap-c.heap)>>10)
 	}
 	if n := now.goroutines - c.goroutines - testGoroutines; n > maxLargeFleetGoroutines {
-		t.Errorf("%d goroutines more", n)
+		t.Errorf("%d more goroutines", n)
 	}
 }
 
-// newTestDispatcher opens a gateway with so many sockets; it has no list yet.
+// newTestDispatcher returns a dispatcher without a host list.
 func newTestDispatcher(t *testing.T, settings string, sockets int) *Dispatcher {
 	t.Helper()
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
@@ -88,7 +93,7 @@
 	return d
 }
 
-// startDiscovery answers each call for the list with the next text that it is given.
+// startDiscovery starts a discovery that answers each call with the next text from the channel.
 func startDiscovery(t *testing.T) (addr string, lists chan<- []byte) {
 	responses := make(chan []byte)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -111,18 +116,19 @@
 	return text
 }
 
-// eventually waits for what is to come about within a time.
-func eventually(t *testing.T, within time.Duration, what string, condition func() bool) {
+// eventually waits until the condition holds, or fails the test.
+func eventually(t *testing.T, timeout time.Duration, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(within); !condition(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("not within %v: %s", within, what)
+	for deadline := time.Now().Add(timeout); !condition(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("not within %v: %s", timeout, what)
 		}
 	}
 }
 
-// A thousand hosts come as one list, then drain one by one, a change a call, and are all back with one call. Each is taken in by a gateway
-// among a thousand, and the whole of it costs little memory and no goroutine for each.
+// A thousand hosts arrive in one list, then drain one by one, a change per call, and all return in one
+// call. A gateway of a fleet of a thousand applies each change, with little memory and without a
+// goroutine per host.
 func TestListLargeFleet(t *testing.T) {
 	d := newTestDispatcher(t, largeFleetSettings(), 400)
 	addr, lists := startDiscovery(t)
@@ -157,9 +163,10 @@
 	eventually(t, time.Second, "all are gone", func() bool { hosts, _, _ := known(); return hosts == 0 })
 }
 
-// peerSockets are the datagrams of other gateways.
+// peerSockets are the sockets of the other gateways.
 type peerSockets []*net.UDPConn
 
+// openPeers opens a socket for each gateway of the fleet.
 func openPeers(t *testing.T) (sockets peerSockets, addrs []string) {
 	for range largeFleetSize {
 		c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -172,7 +179,7 @@
 	return sockets, addrs
 }
 
-// joinPeers joins a gateway to the others until the test ends: their ports may be another test's then.
+// joinPeers joins a gateway to the others until the test ends, when their ports may be reused.
 func joinPeers(t *testing.T, d *Dispatcher, own string, addrs []string) {
 	t.Helper()
 	if err := d.JoinPeers(own, addrs, ""); err != nil {
@@ -181,15 +188,15 @@
 	t.Cleanup(func() { d.peers.socket.Close() })
 }
 
-// receive counts what each gets within a time, and gives the messages that it got.
-func (p peerSockets) receive(within time.Duration, maxMessages int) (got [][][]byte) {
+// receive returns the messages that each socket receives within a time, up to maxMessages each.
+func (p peerSockets) receive(timeout time.Duration, maxMessages int) (got [][][]byte) {
 	got = make([][][]byte, len(p))
 	var all sync.WaitGroup
 	for i, c := range p {
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			c.SetReadDeadline(time.Now().Add(within))
+			c.SetReadDeadline(time.Now().Add(timeout))
 			for msg := make([]byte, 512); len(got[i]) < maxMessages; {
 				n, err := c.Read(msg)
 				if err != nil {
@@ -203,8 +210,9 @@
 	return got
 }
 
-// A thousand gateways ask one that draws for a thousand hosts, and tell it what they have out, while it is busy with something else: all of
-// it arrives, each ask is answered with a host, and it costs little memory and no goroutine for each.
+// A thousand gateways send pick requests to the coordinator of a thousand hosts, and entries about
+// their hops, while it is busy: everything arrives, each request is answered with a host, with little
+// memory and without a goroutine per gateway.
 func TestPeerMessagesReceivedLargeFleet(t *testing.T) {
 	const entriesPerDatagram = 25
 	d := newTestDispatcher(t, largeFleetSettings(), 400)
@@ -220,42 +228,43 @@
 	at := netip.MustParseAddrPort(own)
 	d.mu.Lock()
 	for i, c := range peers {
-		var out []logic.PeerEntry // as many as a datagram holds: a hop that is out at one host, and others with none any more
+		var inFlight []logic.PeerEntry // as many as fit in a datagram: a hop in flight at one host, and none any more at others
 		for k := range entriesPerDatagram {
 			id, _ := d.discovery.hostIDFor(fmt.Sprintf("host-%08x", (i+k)%largeFleetSize))
-			out = append(out, logic.PeerEntry{Kind: logic.EntryInFlight, Host: id, InFlight: 1 / (1 + k)})
+			inFlight = append(inFlight, logic.PeerEntry{Kind: logic.EntryInFlight, Host: id, InFlight: 1 / (1 + k)})
 		}
-		for msg := range d.core.EncodePeerMessages(out) {
+		for msg := range d.core.EncodePeerMessages(inFlight) {
 			c.WriteToUDPAddrPort(msg, at)
 		}
 		for msg := range d.core.EncodePeerMessages([]logic.PeerEntry{{Kind: logic.EntryPickRequest}}) {
 			c.WriteToUDPAddrPort(msg, at)
 		}
 	}
-	asked := time.Now()
+	sentAt := time.Now()
 	d.mu.Unlock()
-	answered := map[logic.HostID]int{}
+	picked := map[logic.HostID]int{}
 	for i, got := range peers.receive(10*time.Second, 1) {
 		if len(got) != 1 {
 			t.Fatalf("gateway %d: %d answers", i+1, len(got))
 		}
-		held, err := d.core.DecodePeerMessage(got[0])
-		if err != nil || len(held) != 1 || held[0].Kind != logic.EntryPickResponse || held[0].Host == 0 {
-			t.Fatalf("gateway %d is answered %+v, %v", i+1, held, err)
+		entries, err := d.core.DecodePeerMessage(got[0])
+		if err != nil || len(entries) != 1 || entries[0].Kind != logic.EntryPickResponse || entries[0].Host == 0 {
+			t.Fatalf("gateway %d received %+v, %v", i+1, entries, err)
 		}
-		answered[held[0].Host]++
+		picked[entries[0].Host]++
 	}
-	t.Logf("%d asks answered within %v", len(peers), time.Since(asked))
-	if told := d.Counters.PeerMessagesReceived.Load(); told != 2*int64(len(peers)) || d.Counters.PeerMessagesInvalid.Load() != 0 {
-		t.Errorf("%d datagrams taken, %d dropped", told, d.Counters.PeerMessagesInvalid.Load())
+	t.Logf("%d pick requests answered within %v", len(peers), time.Since(sentAt))
+	if received := d.Counters.PeerMessagesReceived.Load(); received != 2*int64(len(peers)) || d.Counters.PeerMessagesInvalid.Load() != 0 {
+		t.Errorf("%d datagrams accepted, %d dropped", received, d.Counters.PeerMessagesInvalid.Load())
 	}
-	if len(answered) < largeFleetSize/4 {
-		t.Errorf("only %d hosts are drawn", len(answered))
+	if len(picked) < largeFleetSize/4 {
+		t.Errorf("only %d hosts were picked", len(picked))
 	}
 	before.checkGrowth(t, 0)
 }
 
-// What a gateway tells of a thousand hosts reaches a thousand others, each with the host's number and its hops.
+// A peer message about a thousand hosts reaches a thousand other gateways, with each host's ID and
+// number of hops.
 func TestPeerMessagesSentLargeFleet(t *testing.T) {
 	d := newTestDispatcher(t, largeFleetSettings(), 400)
 	peers, addrs := openPeers(t)
@@ -288,11 +297,12 @@
 	}
 	d.callCore(func(time.Duration) { d.SendPeerMessage(largeFleetSize-1, entries[:1]) })
 	if got := peers[largeFleetSize-1:].receive(time.Second, 1); len(got[0]) != 1 {
-		t.Error("the last gateway is not told")
+		t.Error("the last gateway received nothing")
 	}
 }
 
-// A process hands all that it has learnt of a thousand hosts to the next one, in far less than the time for which that waits.
+// A process hands its learned state for a thousand hosts to the next one, in far less time than the
+// next one waits.
 func TestLearnedStateLargeFleet(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "heir")
 	known := func() *protocol.HostList {
@@ -302,23 +312,23 @@
 	predecessor := newTestDispatcher(t, largeFleetSettings(), 400)
 	predecessor.Start(7, silentDiscovery, known())
 	predecessor.callCore(func(now time.Duration) {
-		what := predecessor.core.ExportLearned(now)
-		for i := range what.Hosts {
-			h := &what.Hosts[i]
+		state := predecessor.core.ExportLearned(now)
+		for i := range state.Hosts {
+			h := &state.Hosts[i]
 			h.Weight, h.ServiceTimeRatio, h.Latency = 0.5+float64(i)/largeFleetSize/3, logic.SmoothedMean{Value: 1.0 / 3, Samples: 7}, logic.SmoothedMean{Value: 1e9 / 3, Samples: 1e4 / 3}
 			h.ErrorFraction, h.BreakerOpenFor, h.BreakerCooldown = 1.0/3, 4*time.Second, 5*time.Second
 		}
-		predecessor.core.ImportLearned(now, what, 0)
+		predecessor.core.ImportLearned(now, state, 0)
 	})
 	if err := predecessor.ListenForHandover(path); err != nil {
 		t.Fatal(err)
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	successor := newTestDispatcher(t, largeFleetSettings(), 400)
 	if err := successor.ListenForHandover(path); err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%d bytes handed over within %v", len(predecessor.encodeLearnedState()), time.Since(began))
+	t.Logf("%d bytes handed over within %v", len(predecessor.encodeLearnedState()), time.Since(startedAt))
 	addr, lists := startDiscovery(t)
 	successor.Start(7, addr, nil)
 	lists <- marshalJSON(t, known())
@@ -332,7 +342,7 @@
 	for i := range stateAfter.Hosts {
 		a, b := stateBefore.Hosts[i], stateAfter.Hosts[i]
 		if a.ID != b.ID || a.Weight != b.Weight || a.ServiceTimeRatio != b.ServiceTimeRatio || a.Latency != b.Latency || a.ErrorFraction != b.ErrorFraction || b.BreakerOpenFor <= 0 {
-			t.Fatalf("host %d: %+v was learnt, %+v is known", i, a, b)
+			t.Fatalf("host %d: %+v handed over, %+v received", i, a, b)
 		}
 	}
 }
