--- a/internal/control/server_test.go
+++ b/internal/control/server_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// stubGateway is a gateway that is told.
+// stubGateway is a gateway that only records whether it drains.
 type stubGateway struct{ draining atomic.Bool }
 
 func (s *stubGateway) Ready() bool         { return !s.draining.Load() }
@@ -19,6 +19,7 @@
 	return true
 }
 
+// startTestServer starts an admin server; call sends a request and returns the status and body of the response.
 func startTestServer() (*AdminServer, func(call string) string) {
 	server, err := Listen("127.0.0.1:0", &stubGateway{})
 	if err != nil {
@@ -49,7 +50,8 @@
 	}
 }
 
-// Each call gets one answer, sensible also where it is repeated, unknown, comes in another way or can't be read.
+// Each request gets one sensible response, also if it is repeated, unknown, has the wrong method or is
+// malformed.
 func ExampleAdminServer() {
 	server, call := startTestServer()
 	defer server.Close()
@@ -82,7 +84,7 @@
 	// yes: 8 other: 8
 }
 
-// Callers that say nothing, or half a call, keep no call out, however many they are.
+// Connections that send nothing, or half a request, don't keep a request out, however many they are.
 func ExampleAdminServer_silent() {
 	server, call := startTestServer()
 	defer server.Close()
