--- a/tools/scale/chart.go
+++ b/tools/scale/chart.go
@@ -15,43 +15,43 @@
 )
 
 const (
-	chartWide = 14 * vg.Centimeter // of one panel
-	chartHigh = 10 * vg.Centimeter
-	perRow    = 3 // panels
+	panelWidth   = 14 * vg.Centimeter // of one panel
+	panelHeight  = 10 * vg.Centimeter
+	panelsPerRow = 3 // panels
 )
 
-// chart draws one panel for each unit and size, both axes by logarithm: a power law is a straight line there.
-func (r *results) chart(path string) error {
+// drawChart draws one panel for each unit and size, both axes by logarithm: a power law is a straight line there.
+func (r *results) drawChart(path string) error {
 	var panels []string
-	by := map[string][]*series{}
+	seriesByPanel := map[string][]*series{}
 	for _, s := range r.Series {
 		_, unit, _ := strings.Cut(s.Key, "/")
-		at := unit + " by " + s.By
-		if len(by[at]) == 0 {
-			panels = append(panels, at)
+		title := unit + " by " + s.SizeName
+		if len(seriesByPanel[title]) == 0 {
+			panels = append(panels, title)
 		}
-		by[at] = append(by[at], s)
+		seriesByPanel[title] = append(seriesByPanel[title], s)
 	}
-	rows := (len(panels) + perRow - 1) / perRow
-	canvas := vgsvg.New(perRow*chartWide, vg.Length(max(1, rows))*chartHigh)
-	tiles := draw.Tiles{Rows: max(1, rows), Cols: perRow, PadX: vg.Centimeter / 2, PadY: vg.Centimeter / 2}
-	all := draw.New(canvas)
-	for i, at := range panels {
-		p := plot.New()
-		p.Title.Text = at
-		p.X.Label.Text = by[at][0].By
-		p.X.Scale, p.Y.Scale = plot.LogScale{}, plot.LogScale{}
-		p.X.Tick.Marker, p.Y.Tick.Marker = plot.LogTicks{Prec: 1}, plot.LogTicks{Prec: 1}
-		p.Legend.Left, p.Legend.Top = true, true
-		p.Legend.TextStyle.Font.Size = 8
-		p.Add(plotter.NewGrid())
+	rows := (len(panels) + panelsPerRow - 1) / panelsPerRow
+	canvas := vgsvg.New(panelsPerRow*panelWidth, vg.Length(max(1, rows))*panelHeight)
+	tiles := draw.Tiles{Rows: max(1, rows), Cols: panelsPerRow, PadX: vg.Centimeter / 2, PadY: vg.Centimeter / 2}
+	page := draw.New(canvas)
+	for i, title := range panels {
+		panel := plot.New()
+		panel.Title.Text = title
+		panel.X.Label.Text = seriesByPanel[title][0].SizeName
+		panel.X.Scale, panel.Y.Scale = plot.LogScale{}, plot.LogScale{}
+		panel.X.Tick.Marker, panel.Y.Tick.Marker = plot.LogTicks{Prec: 1}, plot.LogTicks{Prec: 1}
+		panel.Legend.Left, panel.Legend.Top = true, true
+		panel.Legend.TextStyle.Font.Size = 8
+		panel.Add(plotter.NewGrid())
 		drawn := 0
-		x, y := wide{}, wide{}
-		for k, s := range by[at] {
+		x, y := axisRange{}, axisRange{}
+		for index, s := range seriesByPanel[title] {
 			var xy plotter.XYs
-			for _, one := range s.Points {
-				if one.Value > 0 {
-					xy = append(xy, plotter.XY{X: float64(one.Size), Y: one.Value})
+			for _, sample := range s.Points {
+				if sample.Value > 0 {
+					xy = append(xy, plotter.XY{X: float64(sample.Size), Y: sample.Value})
 				}
 			}
 			if len(xy) < 2 {
@@ -61,21 +61,21 @@
 			if err != nil {
 				return fmt.Errorf("%s: %w", s.Key, err)
 			}
-			line.Color, points.Color, points.Shape = plotutil.Color(k), color.Black, plotutil.Shape(k)
-			p.Add(line, points)
-			for _, one := range xy {
-				x, y = x.with(one.X), y.with(one.Y)
+			line.Color, points.Color, points.Shape = plotutil.Color(index), color.Black, plotutil.Shape(index)
+			panel.Add(line, points)
+			for _, sample := range xy {
+				x, y = x.including(sample.X), y.including(sample.Y)
 			}
 			drawn++
 			name, _, _ := strings.Cut(s.Key, "/")
-			p.Legend.Add(fmt.Sprintf("%s ^%.2f", name, s.Fit.Exponent), line, points)
+			panel.Legend.Add(fmt.Sprintf("%s ^%.2f", name, s.Fit.Exponent), line, points)
 		}
 		if drawn == 0 { // no axis by logarithm without a value above zero
 			continue
 		}
-		p.X.Min, p.X.Max = x.from/1.2, x.to*1.2 // what is flat would else get an axis below zero
-		p.Y.Min, p.Y.Max = y.from/1.2, y.to*1.2
-		p.Draw(tiles.At(all, i%perRow, i/perRow))
+		panel.X.Min, panel.X.Max = x.low/1.2, x.high*1.2 // what is flat would else get an axis below zero
+		panel.Y.Min, panel.Y.Max = y.low/1.2, y.high*1.2
+		panel.Draw(tiles.At(page, i%panelsPerRow, i/panelsPerRow))
 	}
 	f, err := os.Create(path)
 	if err != nil {
@@ -88,12 +88,12 @@
 	return f.Close()
 }
 
-// wide is what an axis spans.
-type wide struct{ from, to float64 }
+// axisRange is what an axis spans.
+type axisRange struct{ low, high float64 }
 
-func (w wide) with(v float64) wide {
-	if w.to == 0 {
-		return wide{v, v}
+func (w axisRange) including(v float64) axisRange {
+	if w.high == 0 {
+		return axisRange{v, v}
 	}
-	return wide{min(w.from, v), max(w.to, v)}
+	return axisRange{min(w.low, v), max(w.high, v)}
 }
--- a/tools/scale/check_test.go
+++ b/tools/scale/check_test.go
@@ -15,7 +15,7 @@
 	"spanmux/internal/routing"
 )
 
-const page = `Run: slopes-1.json
+const examplePage = `Run: slopes-1.json
 
 | target | value |
 | --- | --- |
@@ -46,15 +46,15 @@
 		for _, size := range []int{1, 10, 100} {
 			s.Points = append(s.Points, point{size, map[string]float64{"s": 2e-6, "heap": 100}[unit] * float64(size), 3})
 		}
-		s.Fit, _ = fitted(s.Points)
+		s.Fit, _ = fitPowerLaw(s.Points)
 		r.Series = append(r.Series, s)
 	}
-	fmt.Println(r.hold(page, "slopes-1.json"))
+	fmt.Println(r.checkPage(examplePage, "slopes-1.json"))
 	for _, change := range [][2]string{{"slopes-1", "slopes-0"}, {"170,000 |", "17,000 |"}, {"17 ms", "18 ms"}, {"| core | 17", "| cores | 17"},
 		{"| 1.00 |", "| 1.10 |"}, {"200 µs", "20 µs"}, {"at 100 |", "at 10 |"}, {"twice/s`", "thrice/s`"}, {"340 ms", "34 ms"}, {"340 ms", "340 s"}, {"340 ms a", "much a"},
 		{"missed 20 times", "met"}, {"missed 20 times", "missed 2 times"}, {"missed 20 times", "not measured"}, {"| core | met", "| core | missed 2 times"},
-		{"| core | met", "| size | met"}, {"not measured", "met"}, {"@1,000", "@many"}, {"s~", "s"}, {"| - | - |\n\n", "| - |\n\n"}, {page, "nothing"}} {
-		_, wrong := r.hold(strings.Replace(page, change[0], change[1], 1), "slopes-1.json")
+		{"| core | met", "| size | met"}, {"not measured", "met"}, {"@1,000", "@many"}, {"s~", "s"}, {"| - | - |\n\n", "| - |\n\n"}, {examplePage, "nothing"}} {
+		_, wrong := r.checkPage(strings.Replace(examplePage, change[0], change[1], 1), "slopes-1.json")
 		if len(change[0]) > 100 {
 			change[0] = "all"
 		}
@@ -86,20 +86,20 @@
 }
 
 // The pages in this repository say what the last results and the target give. That is what CI runs; it measures nothing.
-func TestPage(t *testing.T) {
+func TestPagesMatchResults(t *testing.T) {
 	var out strings.Builder
-	if err := (&check{Pages: []string{"../../docs/CAPACITY.md", "../../docs/fleet-state.md"}, Results: "../../lab/results"}).Run(&out); err != nil {
+	if err := (&checkCommand{Pages: []string{"../../docs/CAPACITY.md", "../../docs/fleet-state.md"}, Results: "../../lab/results"}).Run(&out); err != nil {
 		t.Fatalf("%v\n%s", err, out.String())
 	}
 }
 
 // Two bounds of today's program that the page names: a list over 4 MB is turned away, so that a gateway without another is never ready; and
 // settings with more than 128 profiles can't be changed under way. Where one of them falls the page has to be written anew.
-func TestBounds(t *testing.T) {
+func TestDocumentedLimits(t *testing.T) {
 	for n, want := range map[int]bool{128: true, 129: false} {
-		o, err := config.Parse(settings(target["gateways"], n, 0), 0)
+		o, err := config.Parse(settingsJSON(targetFleet["gateways"], n, 0), 0)
 		if err == nil {
-			_, err = o.ParseUpdate(settings(target["gateways"], n, 0), 0)
+			_, err = o.ParseUpdate(settingsJSON(targetFleet["gateways"], n, 0), 0)
 		}
 		if (err == nil) != want {
 			t.Errorf("%d profiles: %v", n, err)
@@ -109,7 +109,7 @@
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
 	defer slog.SetDefault(was)
 	for n, want := range map[int]bool{27_000: true, 30_000: false} {
-		text, again, first := listText(n, true), make(chan struct{}, 99), true
+		text, again, first := hostListJSON(n, true), make(chan struct{}, 99), true
 		discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if first { // calls come one at a time
 				first = false
@@ -119,7 +119,7 @@
 			again <- struct{}{}
 			<-r.Context().Done()
 		}))
-		d, err := routing.NewDispatcher(settings(target["gateways"], usualProfiles, 0))
+		d, err := routing.NewDispatcher(settingsJSON(targetFleet["gateways"], defaultProfileCount, 0))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/tools/scale/desk.go
+++ b/tools/scale/desk.go
@@ -16,91 +16,91 @@
 )
 
 const (
-	changesPlayed = 6               // told one after the other, of which the quickest counts
-	changeWithin  = 5 * time.Second // for one: far over any
+	hostChangeCount   = 6               // told one after the other, of which the quickest counts
+	hostChangeTimeout = 5 * time.Second // for one: far over any
 )
 
-// desk is the gateway's own program up to its sockets: a known list at the start, then a stand-in for discovery on loopback that tells
+// measureDispatcher is the gateway's own program up to its sockets: a known list at the start, then a stand-in for discovery on loopback that tells
 // one change of one host after the other. It gives the time until the known list is in hand, and the least time from a change's answer to
 // the next call, by the clock on the wall: within it the list is read, taken in and told to the module.
-func desk(ctx context.Context, n int) (values map[string]float64, err error) {
-	was := slog.Default()
+func measureDispatcher(ctx context.Context, hostCount int) (values map[string]float64, err error) {
+	defaultLogger := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
-	defer slog.SetDefault(was)
-	known := list(n)
-	d, err := routing.NewDispatcher(settings(target["gateways"], usualProfiles, 0))
+	defer slog.SetDefault(defaultLogger)
+	knownList := makeHostList(hostCount)
+	dispatcher, err := routing.NewDispatcher(settingsJSON(targetFleet["gateways"], defaultProfileCount, 0))
 	if err != nil {
 		return nil, err
 	}
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	d.ConfigureListener(ln, false, 400, 0, 64<<20)
-	calls := make(chan time.Time)
-	answers := make(chan []byte)
-	told := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	dispatcher.ConfigureListener(listener, false, 400, 0, 64<<20)
+	requests := make(chan time.Time)
+	responses := make(chan []byte)
+	discovery := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
-		case calls <- time.Now():
+		case requests <- time.Now():
 		case <-r.Context().Done():
 			return
 		}
 		select {
-		case text := <-answers:
+		case text := <-responses:
 			w.Write(text)
 		case <-r.Context().Done():
 		}
 	})}
 	at, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		ln.Close()
+		listener.Close()
 		return nil, err
 	}
-	go told.Serve(at) // it ends with the process, as the gateway does: its calls wait there, and one refused would come again at once
-	defer ln.Close()
+	go discovery.Serve(at) // it ends with the process, as the gateway does: its calls wait there, and one refused would come again at once
+	defer listener.Close()
 	values = map[string]float64{}
-	values["heap"] = liveHeap(func() any {
-		from := time.Now()
-		d.Start(7, at.Addr().String(), known)
-		values["first"] = time.Since(from).Seconds()
-		return d
+	values["heap"] = retainedHeapBytes(func() any {
+		start := time.Now()
+		dispatcher.Start(7, at.Addr().String(), knownList)
+		values["first"] = time.Since(start).Seconds()
+		return dispatcher
 	})
-	next := func() (time.Time, error) {
+	nextRequest := func() (time.Time, error) {
 		select {
-		case at := <-calls:
+		case at := <-requests:
 			return at, nil
-		case <-time.After(changeWithin):
-			return time.Time{}, fmt.Errorf("no call for the list within %v", changeWithin)
+		case <-time.After(hostChangeTimeout):
+			return time.Time{}, fmt.Errorf("no call for the list within %v", hostChangeTimeout)
 		case <-ctx.Done():
 			return time.Time{}, ctx.Err()
 		}
 	}
-	if _, err := next(); err != nil {
+	if _, err := nextRequest(); err != nil {
 		return nil, err
 	}
-	var took []time.Duration
-	for i := range changesPlayed {
+	var durations []time.Duration
+	for i := range hostChangeCount {
 		state := protocol.StateTerminating
 		if i%2 == 1 {
 			state = "in_service"
 		}
-		e := known.Hosts[n/2]
+		host := knownList.Hosts[hostCount/2]
 		text := fmt.Sprintf(`{"rev":%d,"all":false,"targets":[{"uid":%q,"endpoint":%q,"az":%q,"model":%q,"pod_group":%d,"state":%q,"capacity_hint":1}]}`,
-			5+i, e.UID, e.Endpoint, e.Zone, e.Model, e.Cell, state)
-		from := time.Now()
-		answers <- []byte(text)
-		called, err := next()
+			5+i, host.UID, host.Endpoint, host.Zone, host.Model, host.Cell, state)
+		start := time.Now()
+		responses <- []byte(text)
+		requested, err := nextRequest()
 		if err != nil {
 			return nil, err
 		}
-		took = append(took, called.Sub(from))
+		durations = append(durations, requested.Sub(start))
 	}
-	values["change"] = slices.Min(took).Seconds()
+	values["change"] = slices.Min(durations).Seconds()
 	return values, nil
 }
 
-// callBytes is the size of a call for the list and of the head of its answer, as the gateway and a usual server write them.
-func callBytes() int {
+// hostListRequestBytes is the size of a call for the list and of the head of its answer, as the gateway and a usual server write them.
+func hostListRequestBytes() int {
 	n := 0
 	for _, part := range protocol.EncodeGet(protocol.WatchTarget(1_000_000, 20*time.Second), "10.0.0.1:8080") {
 		n += len(part)
--- a/tools/scale/fleet.go
+++ b/tools/scale/fleet.go
@@ -11,172 +11,172 @@
 )
 
 const (
-	onWay     = time.Millisecond // of a message between gateways, and of a probe there and back
-	warmFor   = time.Second      // before messages count: times and paces are learnt
-	countFor  = 2 * time.Second  // for which they count
-	servedMin = 0.9              // of transactions that must be committed, or something else was measured
+	messageDelay         = time.Millisecond // of a message between gateways, and of a probe there and back
+	fleetWarmUpDuration  = time.Second      // before messages count: times and paces are learnt
+	fleetCountedDuration = 2 * time.Second  // for which they count
+	minCommittedFraction = 0.9              // of transactions that must be committed, or something else was measured
 )
 
 // fleet is many gateways that tell each other, in virtual time: the real module in each and the real messages, with no sockets. Every hop
 // is committed after the same time.
 type fleet struct {
-	now                      time.Duration
-	seq                      int
-	due                      dueEvents
-	members                  []*member
-	codec                    *config.Instance
-	counting                 bool
-	taken, committed, probes int
-	err                      error
+	now                         time.Duration
+	lastEventSeq                int
+	events                      eventQueue
+	members                     []*fleetMember
+	codec                       *config.Instance
+	counting                    bool
+	received, committed, probes int
+	err                         error
 }
 
-// member is one gateway of a fleet.
-type member struct {
+// fleetMember is one gateway of a fleet.
+type fleetMember struct {
 	*logic.Balancer
-	f                              *fleet
-	me                             int
-	timer                          int // of the one that is set
-	out                            map[logic.TxID]logic.HostID
-	sentBytes, gotBytes, sent, got int
+	fleet                                                    *fleet
+	index                                                    int
+	timerSeq                                                 int // of the one that is set
+	openHops                                                 map[logic.TxID]logic.HostID
+	sentBytes, receivedBytes, sentMessages, receivedMessages int
 }
 
-type dueEvent struct {
+type event struct {
 	at  time.Duration
 	seq int
-	do  func()
+	run func()
 }
 
-type dueEvents []dueEvent
+type eventQueue []event
 
-func (d dueEvents) Len() int { return len(d) }
-func (d dueEvents) Less(i, j int) bool {
+func (d eventQueue) Len() int { return len(d) }
+func (d eventQueue) Less(i, j int) bool {
 	return d[i].at < d[j].at || d[i].at == d[j].at && d[i].seq < d[j].seq
 }
-func (d dueEvents) Swap(i, j int) { d[i], d[j] = d[j], d[i] }
-func (d *dueEvents) Push(x any)   { *d = append(*d, x.(dueEvent)) }
-func (d *dueEvents) Pop() any {
+func (d eventQueue) Swap(i, j int) { d[i], d[j] = d[j], d[i] }
+func (d *eventQueue) Push(x any)   { *d = append(*d, x.(event)) }
+func (d *eventQueue) Pop() any {
 	old := *d
 	last := old[len(old)-1]
 	*d = old[:len(old)-1]
 	return last
 }
 
-func (f *fleet) in(d time.Duration, do func()) {
-	f.seq++
-	heap.Push(&f.due, dueEvent{f.now + d, f.seq, do})
+func (f *fleet) schedule(delay time.Duration, run func()) {
+	f.lastEventSeq++
+	heap.Push(&f.events, event{f.now + delay, f.lastEventSeq, run})
 }
 
-func (m *member) SendHop(id logic.TxID, host logic.HostID, _ time.Duration) {
-	if _, again := m.out[id]; again {
-		m.f.err = fmt.Errorf("a second hop though all are committed")
+func (m *fleetMember) SendHop(id logic.TxID, host logic.HostID, _ time.Duration) {
+	if _, again := m.openHops[id]; again {
+		m.fleet.err = fmt.Errorf("a second hop though all are committed")
 	}
-	m.out[id] = host
-	m.f.in(hopTakes, func() {
-		delete(m.out, id)
-		m.HopEnded(m.f.now, id, 0, logic.HopResult{Outcome: logic.HopCommitted, Latency: hopTakes, Load: logic.NoLoadReport}, true)
-		m.f.committed++
+	m.openHops[id] = host
+	m.fleet.schedule(hopLatency, func() {
+		delete(m.openHops, id)
+		m.HopEnded(m.fleet.now, id, 0, logic.HopResult{Outcome: logic.HopCommitted, Latency: hopLatency, Load: logic.NoLoadReport}, true)
+		m.fleet.committed++
 	})
 }
-func (m *member) CallOff(logic.TxID, int)            {}
-func (m *member) RollBack(logic.TxID, time.Duration) {}
-func (m *member) Abandon(logic.TxID)                 {}
-func (m *member) CloseIdleConnections(logic.HostID)  {}
-func (m *member) RequestHostList()                   {}
-func (m *member) Log(string)                         {}
+func (m *fleetMember) CallOff(logic.TxID, int)            {}
+func (m *fleetMember) RollBack(logic.TxID, time.Duration) {}
+func (m *fleetMember) Abandon(logic.TxID)                 {}
+func (m *fleetMember) CloseIdleConnections(logic.HostID)  {}
+func (m *fleetMember) RequestHostList()                   {}
+func (m *fleetMember) Log(string)                         {}
 
-func (m *member) Probe(host logic.HostID) {
-	if m.f.counting {
-		m.f.probes++
+func (m *fleetMember) Probe(host logic.HostID) {
+	if m.fleet.counting {
+		m.fleet.probes++
 	}
-	m.f.in(onWay, func() {
-		m.ProbeEnded(m.f.now, host, logic.LoadReport{InFlight: 2, Queued: 0, Utilization: 0.3, RequestsPerSecond: -1, LatencyMs: -1})
+	m.fleet.schedule(messageDelay, func() {
+		m.ProbeEnded(m.fleet.now, host, logic.LoadReport{InFlight: 2, Queued: 0, Utilization: 0.3, RequestsPerSecond: -1, LatencyMs: -1})
 	})
 }
 
-func (m *member) SetTimer(in time.Duration) {
-	m.timer++
-	set := m.timer
-	m.f.in(in, func() {
-		if m.timer == set {
-			m.TimerFired(m.f.now)
+func (m *fleetMember) SetTimer(in time.Duration) {
+	m.timerSeq++
+	timer := m.timerSeq
+	m.fleet.schedule(in, func() {
+		if m.timerSeq == timer {
+			m.TimerFired(m.fleet.now)
 		}
 	})
 }
 
-func (m *member) SendPeerMessage(to int, held []logic.PeerEntry) {
-	for msg := range m.f.codec.EncodePeerMessages(held) {
-		for i, other := range m.f.members {
-			if i != m.me && (to < 0 || i == to) {
-				m.pass(other, msg)
+func (m *fleetMember) SendPeerMessage(to int, entries []logic.PeerEntry) {
+	for msg := range m.fleet.codec.EncodePeerMessages(entries) {
+		for i, other := range m.fleet.members {
+			if i != m.index && (to < 0 || i == to) {
+				m.deliver(other, msg)
 			}
 		}
 	}
 }
 
-// pass has one datagram go to another gateway. Headers of IP and UDP are not counted.
-func (m *member) pass(to *member, msg []byte) {
-	if m.f.counting {
-		m.sent, m.sentBytes = m.sent+1, m.sentBytes+len(msg)
-		to.got, to.gotBytes = to.got+1, to.gotBytes+len(msg)
+// deliver has one datagram go to another gateway. Headers of IP and UDP are not counted.
+func (m *fleetMember) deliver(to *fleetMember, msg []byte) {
+	if m.fleet.counting {
+		m.sentMessages, m.sentBytes = m.sentMessages+1, m.sentBytes+len(msg)
+		to.receivedMessages, to.receivedBytes = to.receivedMessages+1, to.receivedBytes+len(msg)
 	}
-	m.f.in(onWay, func() {
-		held, err := m.f.codec.DecodePeerMessage(msg)
+	m.fleet.schedule(messageDelay, func() {
+		entries, err := m.fleet.codec.DecodePeerMessage(msg)
 		if err != nil {
-			m.f.err = err
+			m.fleet.err = err
 			return
 		}
-		to.PeerMessageReceived(m.f.now, m.me, held)
+		to.PeerMessageReceived(m.fleet.now, m.index, entries)
 	})
 }
 
-// tells plays a fleet and gives what a gateway sends and receives in a second: the mean and the worst; and the probes of a host.
-func tells(ctx context.Context, gateways, ofHosts, ofZones, perSecond int) (map[string]float64, error) {
+// measurePeerMessages plays a fleet and gives what a gateway sends and receives in a second: the mean and the worst; and the probes of a host.
+func measurePeerMessages(ctx context.Context, gatewayCount, hostCount, zoneCount, transactionsPerSecond int) (map[string]float64, error) {
 	f := &fleet{now: time.Hour}
 	var err error
-	if f.codec, err = opened(gateways); err != nil {
+	if f.codec, err = newPeerMessageCodec(gatewayCount); err != nil {
 		return nil, err
 	}
-	all, in := hosts(ofHosts, ofZones), zones(ofZones)
-	for i := range gateways {
-		f.members = append(f.members, &member{f: f, me: i, out: map[logic.TxID]logic.HostID{}})
+	allHosts, allZones := makeHosts(hostCount, zoneCount), makeZones(zoneCount)
+	for i := range gatewayCount {
+		f.members = append(f.members, &fleetMember{fleet: f, index: i, openHops: map[logic.TxID]logic.HostID{}})
 	}
 	for i, m := range f.members {
-		m.Balancer = logic.New(m, f.now, uint64(7+i), logic.Topology{GatewayCount: gateways, GatewayIndex: i, Zone: in[i%ofZones], Zones: in}, profiles(usualProfiles), nil,
+		m.Balancer = logic.New(m, f.now, uint64(7+i), logic.Topology{GatewayCount: gatewayCount, GatewayIndex: i, Zone: allZones[i%zoneCount], Zones: allZones}, makeProfiles(defaultProfileCount), nil,
 			logic.ColdHostRule{InitialCapacityFraction: 0.25, WarmUpDuration: 8 * time.Second, OverloadMultiple: 4, OverloadDuration: time.Second}, logic.DrainRule{},
 			logic.HopRule{MaxHops: 3, MaxRetryAfter: time.Second}, logic.InformationSources{PeersShareInFlight: true, ProbesReportLoad: true, MaxListPollInterval: 10 * time.Second}, logic.CostModel{CrossZoneHop: 0.05})
-		m.HostListReceived(f.now, logic.ListComplete, all)
+		m.HostListReceived(f.now, logic.ListComplete, allHosts)
 		id := logic.TxID(0)
 		var arrive func()
 		arrive = func() {
 			id++
-			f.taken++
+			f.received++
 			m.TransactionReceived(f.now, id, logic.Arrival{TenantIndex: -1, Budget: time.Second})
-			f.in(time.Second/time.Duration(perSecond), arrive)
+			f.schedule(time.Second/time.Duration(transactionsPerSecond), arrive)
 		}
-		f.in(time.Second/time.Duration(perSecond)*time.Duration(i)/time.Duration(gateways), arrive)
+		f.schedule(time.Second/time.Duration(transactionsPerSecond)*time.Duration(i)/time.Duration(gatewayCount), arrive)
 	}
-	f.in(warmFor, func() { f.counting, f.taken, f.committed = true, 0, 0 })
-	for until := f.now + warmFor + countFor; len(f.due) > 0 && f.due[0].at < until && f.err == nil; {
-		if f.seq%1024 == 0 && ctx.Err() != nil {
+	f.schedule(fleetWarmUpDuration, func() { f.counting, f.received, f.committed = true, 0, 0 })
+	for until := f.now + fleetWarmUpDuration + fleetCountedDuration; len(f.events) > 0 && f.events[0].at < until && f.err == nil; {
+		if f.lastEventSeq%1024 == 0 && ctx.Err() != nil {
 			return nil, ctx.Err()
 		}
-		next := heap.Pop(&f.due).(dueEvent)
+		next := heap.Pop(&f.events).(event)
 		f.now = next.at
-		next.do()
+		next.run()
 	}
 	if f.err != nil {
 		return nil, f.err
 	}
-	if float64(f.committed) < servedMin*float64(f.taken) {
-		return nil, fmt.Errorf("%d of %d committed: the fleet gave up, so nothing was measured", f.committed, f.taken)
+	if float64(f.committed) < minCommittedFraction*float64(f.received) {
+		return nil, fmt.Errorf("%d of %d committed: the fleet gave up, so nothing was measured", f.committed, f.received)
 	}
-	seconds, mean, worst, messages, worstOf := countFor.Seconds(), 0.0, 0.0, 0.0, 0.0
+	seconds, meanBytes, worstBytes, meanMessages, worstMessages := fleetCountedDuration.Seconds(), 0.0, 0.0, 0.0, 0.0
 	for _, m := range f.members {
-		bytes, n := float64(m.sentBytes+m.gotBytes)/seconds, float64(m.sent+m.got)/seconds
-		mean += bytes / float64(gateways)
-		messages += n / float64(gateways)
-		worst, worstOf = max(worst, bytes), max(worstOf, n)
+		bytes, n := float64(m.sentBytes+m.receivedBytes)/seconds, float64(m.sentMessages+m.receivedMessages)/seconds
+		meanBytes += bytes / float64(gatewayCount)
+		meanMessages += n / float64(gatewayCount)
+		worstBytes, worstMessages = max(worstBytes, bytes), max(worstMessages, n)
 	}
-	return map[string]float64{"B/s": mean, "worst B/s": worst, "msg/s": messages, "worst msg/s": worstOf,
-		"probes/s": float64(f.probes) / seconds / float64(ofHosts)}, nil
+	return map[string]float64{"B/s": meanBytes, "worst B/s": worstBytes, "msg/s": meanMessages, "worst msg/s": worstMessages,
+		"probes/s": float64(f.probes) / seconds / float64(hostCount)}, nil
 }
--- a/tools/scale/growth_test.go
+++ b/tools/scale/growth_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// growing is what grows today with a size, by counts that are the same each time. most and costs are today's code's: they may only
+// growthBounds is what grows today with a size, by counts that are the same each time. most and costs are today's code's: they may only
 // fall. needs is what the target asks for, by docs/CAPACITY.md; where it is below most, today's code grows too fast.
-var growing = []struct {
+var growthBounds = []struct {
 	key   string
 	sizes []int
 	most  float64 // exponent
@@ -45,35 +45,35 @@
 }
 
 const (
-	growthOff = 0.03 // for how maps and slices happen to grow
-	costsOff  = 0.02 // ditto
+	exponentTolerance = 0.03 // for how maps and slices happen to grow
+	valueTolerance    = 0.02 // ditto
 )
 
 // Growth that gets worse fails the same way each time: allocations, bytes and messages are counted, and no time is taken. Where growth
 // has become less, most is to be lowered here, or the gain may be lost unseen.
 func TestGrowth(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // as testing.AllocsPerRun: what others allocate meanwhile would count
-	for _, g := range growing {
+	for _, g := range growthBounds {
 		t.Run(g.key, func(t *testing.T) {
-			s := counted(t, g.key, g.sizes)
-			f, err := fitted(s.Points)
+			s := measureCounts(t, g.key, g.sizes)
+			f, err := fitPowerLaw(s.Points)
 			flat := err == nil && s.Points[0].Value == s.Points[len(s.Points)-1].Value
 			if err != nil && s.Points[len(s.Points)-1].Value > 0 {
 				t.Fatal(err)
 			}
 			t.Logf("exponent %.3f, today's %.2f, the target needs %.0f: %s", f.Exponent, g.most, g.needs, g.why)
-			if !flat && f.Exponent > g.most+growthOff {
+			if !flat && f.Exponent > g.most+exponentTolerance {
 				t.Errorf("grows with the power %.3f of its size, %.2f until now: %v", f.Exponent, g.most, s.Points)
 			}
-			if end := s.Points[len(s.Points)-1]; !race && end.Value > g.costs*(1+costsOff)+1 {
+			if end := s.Points[len(s.Points)-1]; !raceDetectorEnabled && end.Value > g.costs*(1+valueTolerance)+1 {
 				t.Errorf("%.0f at %d, %.0f until now", end.Value, end.Size, g.costs)
 			}
 		})
 	}
 }
 
-// counted measures one series by counts.
-func counted(t *testing.T, key string, sizes []int) *series {
+// measureCounts measures one series by counts.
+func measureCounts(t *testing.T, key string, sizes []int) *series {
 	s := &series{Key: key}
 	for _, m := range measures() {
 		unit, found := "", false
@@ -84,7 +84,7 @@
 			if !found {
 				break
 			}
-			values, _, err := m.of(&meter{ctx: context.Background(), counts: true}, n)
+			values, _, err := m.run(&meter{ctx: context.Background(), countsOnly: true}, n)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/tools/scale/main.go
+++ b/tools/scale/main.go
@@ -16,11 +16,11 @@
 
 // cli is what the command is told.
 type cli struct {
-	Slopes slopes `cmd:"" help:"Measure costs by size on several points each, fit their growth and keep the results."`
-	Check  check  `cmd:"" help:"Hold the pages' figures against the last results kept and the target; ends with 1 where one says other than they do."`
+	Slopes slopesCommand `cmd:"" help:"Measure costs by size on several points each, fit their growth and keep the results."`
+	Check  checkCommand  `cmd:"" help:"Hold the pages' figures against the last results kept and the target; ends with 1 where one says other than they do."`
 }
 
-const afterEnd = 5 * time.Second // for the one operation that is under way at the end of the time: the longest takes about a second
+const defaultOverrunTimeout = 5 * time.Second // for the one operation that is under way at the end of the time: the longest takes about a second
 
 // errFailed is a run that came to its end and found something wrong.
 var errFailed = errors.New("not as it should be")
@@ -46,9 +46,9 @@
 	if err != nil {
 		return err
 	}
-	told, err := parser.Parse(args)
+	parsed, err := parser.Parse(args)
 	if err != nil {
 		return err
 	}
-	return told.Run()
+	return parsed.Run()
 }
--- a/tools/scale/meter.go
+++ b/tools/scale/meter.go
@@ -10,39 +10,39 @@
 )
 
 const (
-	batchLeast  = 2 * time.Millisecond   // of processor time for one reading: far over the clock's own cost
-	batchMost   = 4096                   // operations in one reading
-	repsLeast   = 3                      // readings of which the least counts
-	repsMost    = 15                     // ditto: more hardly lower it
-	countedMost = 6                      // operations whose allocations are counted; one where it takes long
-	slice       = 350 * time.Millisecond // for the readings of one point, the first ones aside
+	minBatchCPUTime      = 2 * time.Millisecond   // of processor time for one reading: far over the clock's own cost
+	maxBatchOperations   = 4096                   // operations in one reading
+	minReadings          = 3                      // readings of which the least counts
+	maxReadings          = 15                     // ditto: more hardly lower it
+	maxCountedOperations = 6                      // operations whose allocations are counted; one where it takes long
+	readingsDuration     = 350 * time.Millisecond // for the readings of one point, the first ones aside
 )
 
-// cost is what one operation takes.
-type cost struct {
-	seconds float64 // processor time of the thread that does it, the least of all readings; the collector's other threads are not in it
-	allocs  float64 // allocations, the mean
-	bytes   float64 // bytes allocated, the mean
-	reps    int
+// operationCost is what one operation takes.
+type operationCost struct {
+	seconds     float64 // processor time of the thread that does it, the least of all readings; the collector's other threads are not in it
+	allocations float64 // allocations, the mean
+	bytes       float64 // bytes allocated, the mean
+	readings    int
 }
 
 // meter takes readings until its context is over.
 type meter struct {
-	ctx    context.Context
-	counts bool // allocations only, which are the same each time: times are left out
+	ctx        context.Context
+	countsOnly bool // allocations only, which are the same each time: times are left out
 }
 
-// threadTime is the processor time that this thread has used.
-func threadTime() time.Duration {
-	var at unix.Timespec
-	if unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &at) != nil {
+// threadCPUTime is the processor time that this thread has used.
+func threadCPUTime() time.Duration {
+	var clock unix.Timespec
+	if unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &clock) != nil {
 		return 0
 	}
-	return time.Duration(at.Nano())
+	return time.Duration(clock.Nano())
 }
 
-// cost repeats an operation. before, where there is one, comes before each and is not counted.
-func (m *meter) cost(before, op func()) (c cost, err error) {
+// measure repeats an operation. before, where there is one, comes before each and is not counted.
+func (m *meter) measure(before, op func()) (c operationCost, err error) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	timed := func(n int) (spent time.Duration) {
@@ -50,88 +50,88 @@
 			if before != nil {
 				before()
 			}
-			from := threadTime()
+			start := threadCPUTime()
 			op()
-			spent += threadTime() - from
+			spent += threadCPUTime() - start
 		}
 		return spent
 	}
 	if before == nil { // one reading for all
 		timed = func(n int) time.Duration {
-			from := threadTime()
+			start := threadCPUTime()
 			for range n {
 				op()
 			}
-			return threadTime() - from
+			return threadCPUTime() - start
 		}
 	}
-	if m.counts {
+	if m.countsOnly {
 		timed(1) // what the first leaves behind for the next does not count
-		c.seconds, c.reps = 1, 1
-		c.count(before, op, true)
+		c.seconds, c.readings = 1, 1
+		c.countAllocations(before, op, true)
 		return c, m.ctx.Err()
 	}
 	n := 1
-	for n < batchMost && timed(n) < batchLeast { // the first finds nothing in any cache, and does not count
+	for n < maxBatchOperations && timed(n) < minBatchCPUTime { // the first finds nothing in any cache, and does not count
 		n *= 2
 	}
 	c.seconds = math.Inf(1)
-	until := time.Now().Add(slice)
+	deadline := time.Now().Add(readingsDuration)
 	runtime.GC()
-	for c.reps < repsLeast || c.reps < repsMost && time.Now().Before(until) {
+	for c.readings < minReadings || c.readings < maxReadings && time.Now().Before(deadline) {
 		if err := m.ctx.Err(); err != nil {
 			return c, err
 		}
 		c.seconds = min(c.seconds, timed(n).Seconds()/float64(n))
-		c.reps++
+		c.readings++
 	}
-	c.count(before, op, false)
+	c.countAllocations(before, op, false)
 	return c, nil
 }
 
-// count takes the allocations of some operations, of one where it takes long: the mean; the least where only these are asked for, as
+// countAllocations takes the allocations of some operations, of one where it takes long: the mean; the least where only these are asked for, as
 // whatever else the process does may come into one of them.
-func (c *cost) count(before, op func(), least bool) {
-	counted := countedMost
-	if c.seconds > slice.Seconds()/10 && !least {
-		counted = 1
+func (c *operationCost) countAllocations(before, op func(), useLeast bool) {
+	operations := maxCountedOperations
+	if c.seconds > readingsDuration.Seconds()/10 && !useLeast {
+		operations = 1
 	}
-	leastA, leastB := math.Inf(1), math.Inf(1)
-	for range counted {
+	leastAllocations, leastBytes := math.Inf(1), math.Inf(1)
+	for range operations {
 		if before != nil {
 			before()
 		}
-		a, b := counts(op)
-		c.allocs += a / float64(counted)
-		c.bytes += b / float64(counted)
-		leastA, leastB = min(leastA, a), min(leastB, b)
+		allocations, bytes := allocationsOf(op)
+		c.allocations += allocations / float64(operations)
+		c.bytes += bytes / float64(operations)
+		leastAllocations, leastBytes = min(leastAllocations, allocations), min(leastBytes, bytes)
 	}
-	if least {
-		c.allocs, c.bytes = leastA, leastB
+	if useLeast {
+		c.allocations, c.bytes = leastAllocations, leastBytes
 	}
 }
 
-// counts are the allocations of one operation, and their bytes.
-func counts(op func()) (allocs, bytes float64) {
-	var from, to runtime.MemStats
-	runtime.ReadMemStats(&from)
+// allocationsOf are the allocations of one operation, and their bytes.
+func allocationsOf(op func()) (allocations, bytes float64) {
+	var before, after runtime.MemStats
+	runtime.ReadMemStats(&before)
 	op()
-	runtime.ReadMemStats(&to)
-	return float64(to.Mallocs - from.Mallocs), float64(to.TotalAlloc - from.TotalAlloc)
+	runtime.ReadMemStats(&after)
+	return float64(after.Mallocs - before.Mallocs), float64(after.TotalAlloc - before.TotalAlloc)
 }
 
-// liveHeap is the bytes that stay in use for what is built.
-func liveHeap(build func() any) float64 {
+// retainedHeapBytes is the bytes that stay in use for what is built.
+func retainedHeapBytes(build func() any) float64 {
 	live := func() uint64 {
 		runtime.GC()
 		runtime.GC() // what the first has freed the second has swept
-		var at runtime.MemStats
-		runtime.ReadMemStats(&at)
-		return at.HeapAlloc
+		var stats runtime.MemStats
+		runtime.ReadMemStats(&stats)
+		return stats.HeapAlloc
 	}
-	from := live()
+	before := live()
 	built := build()
-	to := live()
+	after := live()
 	runtime.KeepAlive(built)
-	return max(0, float64(to)-float64(from))
+	return max(0, float64(after)-float64(before))
 }
--- a/tools/scale/norace_test.go
+++ b/tools/scale/norace_test.go
@@ -2,5 +2,5 @@
 
 package main
 
-// race tells whether this is the race detector's build.
-const race = false
+// raceDetectorEnabled tells whether this is the race detector's build.
+const raceDetectorEnabled = false
--- a/tools/scale/results.go
+++ b/tools/scale/results.go
@@ -12,41 +12,41 @@
 
 // series is one cost by one size. Its key is its name with its unit, such as list-one/s.
 type series struct {
-	Key    string  `json:"key"`
-	What   string  `json:"what"`
-	By     string  `json:"by"`
-	Fixed  string  `json:"fixed"` // all other sizes
-	Points []point `json:"points"`
-	Fit    fit     `json:"fit"`
+	Key         string  `json:"key"`
+	Description string  `json:"what"`
+	SizeName    string  `json:"by"`
+	FixedSizes  string  `json:"fixed"` // all other sizes
+	Points      []point `json:"points"`
+	Fit         fit     `json:"fit"`
 }
 
 // results are one run of all measures.
 type results struct {
-	Made    string    `json:"made"` // UTC
-	Go      string    `json:"go"`
-	Arch    string    `json:"arch"`
-	Procs   int       `json:"procs"` // GOMAXPROCS
-	Most    int       `json:"most"`  // the largest size measured
-	Times   string    `json:"times"` // how times were taken
-	Series  []*series `json:"series"`
-	Missing []string  `json:"missing,omitempty"` // what could not be measured in the time
+	CreatedAt    string    `json:"made"` // UTC
+	Go           string    `json:"go"`
+	Arch         string    `json:"arch"`
+	Procs        int       `json:"procs"` // GOMAXPROCS
+	MaxSize      int       `json:"most"`  // the largest size measured
+	TimingMethod string    `json:"times"` // how times were taken
+	Series       []*series `json:"series"`
+	Missing      []string  `json:"missing,omitempty"` // what could not be measured in the time
 }
 
-func (r *results) find(key string) *series {
+func (r *results) findSeries(key string) *series {
 	if i := slices.IndexFunc(r.Series, func(s *series) bool { return s.Key == key }); i >= 0 {
 		return r.Series[i]
 	}
 	return nil
 }
 
-const kept = "slopes-" // begins the names of files with results; the time of the run follows, so that they sort by it
+const resultsFilePrefix = "slopes-" // begins the names of files with results; the time of the run follows, so that they sort by it
 
-// keep writes the results as JSON and CSV and draws their chart, and names the JSON file.
-func (r *results) keep(folder, stamp string) (string, error) {
+// save writes the results as JSON and CSV and draws their chart, and names the JSON file.
+func (r *results) save(folder, stamp string) (string, error) {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return "", err
 	}
-	base := filepath.Join(folder, kept+stamp)
+	base := filepath.Join(folder, resultsFilePrefix+stamp)
 	text, err := json.MarshalIndent(r, "", "\t")
 	if err != nil {
 		return "", err
@@ -60,31 +60,31 @@
 	w.Write([]string{"key", "by", "size", "value", "reps", "fitted"})
 	for _, s := range r.Series {
 		for _, p := range s.Points {
-			w.Write([]string{s.Key, s.By, strconv.Itoa(p.Size), fmt.Sprintf("%.6g", p.Value), strconv.Itoa(p.Reps),
-				fmt.Sprintf("%.6g", s.Fit.at(p.Size))})
+			w.Write([]string{s.Key, s.SizeName, strconv.Itoa(p.Size), fmt.Sprintf("%.6g", p.Value), strconv.Itoa(p.Repetitions),
+				fmt.Sprintf("%.6g", s.Fit.valueAt(p.Size))})
 		}
 	}
 	if w.Flush(); w.Error() != nil {
 		return "", w.Error()
 	}
-	if err := r.chart(base + ".svg"); err != nil {
+	if err := r.drawChart(base + ".svg"); err != nil {
 		return "", err
 	}
-	return base + ".json", whole(base+".json", append(text, '\n')) // last: where it is, all are
+	return base + ".json", writeAtomically(base+".json", append(text, '\n')) // last: where it is, all are
 }
 
-// whole writes a file whole or not at all.
-func whole(path string, text []byte) error {
-	beside := path + ".new"
-	if err := os.WriteFile(beside, text, 0o644); err != nil {
+// writeAtomically writes a file whole or not at all.
+func writeAtomically(path string, text []byte) error {
+	temporary := path + ".new"
+	if err := os.WriteFile(temporary, text, 0o644); err != nil {
 		return err
 	}
-	return os.Rename(beside, path)
+	return os.Rename(temporary, path)
 }
 
-// last reads the last results kept in a folder.
-func last(folder string) (r *results, path string, err error) {
-	paths, err := filepath.Glob(filepath.Join(folder, kept+"*.json"))
+// loadLatest reads the last results kept in a folder.
+func loadLatest(folder string) (r *results, path string, err error) {
+	paths, err := filepath.Glob(filepath.Join(folder, resultsFilePrefix+"*.json"))
 	if err != nil {
 		return nil, "", err
 	}
--- a/tools/scale/scale_test.go
+++ b/tools/scale/scale_test.go
@@ -12,14 +12,14 @@
 	"time"
 )
 
-// powers are points of value = 3 * size^by, times what is told of some.
-func powers(by float64, off map[int]float64, sizes ...int) (points []point) {
+// powerLawPoints are points of value = 3 * size^by, times what is told of some.
+func powerLawPoints(exponent float64, factors map[int]float64, sizes ...int) (points []point) {
 	for _, n := range sizes {
-		times := off[n]
-		if times == 0 {
-			times = 1
+		factor := factors[n]
+		if factor == 0 {
+			factor = 1
 		}
-		points = append(points, point{n, 3 * math.Pow(float64(n), by) * times, 1})
+		points = append(points, point{n, 3 * math.Pow(float64(n), exponent) * factor, 1})
 	}
 	return points
 }
@@ -27,19 +27,19 @@
 // A power law is found again; a point off it by more than a quarter, or a bend, is said, with where; what has no growth is no fit.
 func Example_fitted() {
 	show := func(points []point) {
-		f, err := fitted(points)
+		f, err := fitPowerLaw(points)
 		if err != nil {
 			fmt.Println(err)
 			return
 		}
-		fmt.Printf("%.2f, slope %.4g, %s\n", f.Exponent, f.PerUnit, f.verdict())
+		fmt.Printf("%.2f, slope %.4g, %s\n", f.Exponent, f.TailSlope, f.verdict())
 	}
-	show(powers(1, nil, 10, 100, 1000))
-	show(powers(2, nil, 10, 100, 1000))
-	show(powers(1, map[int]float64{100: 1.2}, 10, 100, 1000))
-	show(powers(1, map[int]float64{100: 2}, 10, 100, 1000))
-	show(append(powers(0, nil, 10, 100), powers(2, nil, 1000, 10_000, 100_000)...))
-	show(powers(1, nil, 10))
+	show(powerLawPoints(1, nil, 10, 100, 1000))
+	show(powerLawPoints(2, nil, 10, 100, 1000))
+	show(powerLawPoints(1, map[int]float64{100: 1.2}, 10, 100, 1000))
+	show(powerLawPoints(1, map[int]float64{100: 2}, 10, 100, 1000))
+	show(append(powerLawPoints(0, nil, 10, 100), powerLawPoints(2, nil, 1000, 10_000, 100_000)...))
+	show(powerLawPoints(1, nil, 10))
 	show([]point{{10, 0, 1}, {100, 0, 1}})
 	// Output:
 	// 1.00, slope 3, line (0% off at the most)
@@ -53,10 +53,10 @@
 
 // Inside what was measured a forecast goes by the points beside it, beyond by the growth at the large end.
 func Example_forecast() {
-	s := &series{Points: append(powers(0, nil, 10, 100), powers(2, nil, 1000, 10_000, 100_000)...)}
-	s.Fit, _ = fitted(s.Points)
+	s := &series{Points: append(powerLawPoints(0, nil, 10, 100), powerLawPoints(2, nil, 1000, 10_000, 100_000)...)}
+	s.Fit, _ = fitPowerLaw(s.Points)
 	for _, size := range []int{10, 50, 300, 1000, 20_000, 1_000_000} {
-		fmt.Printf("%d: %.3g, measured %t\n", size, s.forecast(size), s.measured(size))
+		fmt.Printf("%d: %.3g, measured %t\n", size, s.forecast(size), s.covers(size))
 	}
 	// Output:
 	// 10: 3, measured true
@@ -67,8 +67,8 @@
 	// 1000000: 3e+12, measured false
 }
 
-// standIns are measures whose values are known.
-func standIns() []measure {
+// fakeMeasures are measures whose values are known.
+func fakeMeasures() []measure {
 	return []measure{{"twice", "hosts", "", "", []int{1, 10, 100}, func(_ *meter, n int) (map[string]float64, int, error) {
 		return map[string]float64{"s": 2e-6 * float64(n), "heap": 100 * float64(n)}, 3, nil
 	}}, {"nought", "hosts", "", "", []int{1, 10, 100}, func(*meter, int) (map[string]float64, int, error) {
@@ -76,8 +76,8 @@
 	}}}
 }
 
-// ran runs the command and tells how it ended.
-func ran(t *testing.T, s *slopes) (string, error) {
+// runSlopes runs the command and tells how it ended.
+func runSlopes(t *testing.T, s *slopesCommand) (string, error) {
 	t.Helper()
 	var out strings.Builder
 	err := s.Run(context.Background(), &out)
@@ -85,9 +85,9 @@
 }
 
 // What is measured is told as it goes, and kept as JSON that reads back, as CSV and as a chart.
-func TestKeeps(t *testing.T) {
+func TestSavesResults(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "results")
-	out, err := ran(t, &slopes{Within: time.Minute, Out: folder, Procs: 1, measures: standIns})
+	out, err := runSlopes(t, &slopesCommand{Timeout: time.Minute, OutputFolder: folder, Procs: 1, measures: fakeMeasures})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -96,8 +96,8 @@
 			t.Errorf("no %q in:\n%s", want, out)
 		}
 	}
-	r, path, err := last(folder)
-	if err != nil || len(r.Series) != 2 || r.find("twice/heap") == nil || r.find("twice/heap").Points[2].Value != 10_000 {
+	r, path, err := loadLatest(folder)
+	if err != nil || len(r.Series) != 2 || r.findSeries("twice/heap") == nil || r.findSeries("twice/heap").Points[2].Value != 10_000 {
 		t.Fatalf("%v, %+v", err, r)
 	}
 	for end, want := range map[string]string{".csv": "twice/s,hosts,10,2e-05,3,2e-05\n", ".svg": "<svg"} {
@@ -109,7 +109,7 @@
 }
 
 // It ends when its time is over: what was not measured is named, and one operation that doesn't end does not hold it.
-func TestEnds(t *testing.T) {
+func TestEndsAtTimeout(t *testing.T) {
 	waits := func(m *meter, _ int) (map[string]float64, int, error) {
 		<-m.ctx.Done()
 		return nil, 0, m.ctx.Err()
@@ -119,8 +119,8 @@
 	for name, of := range map[string]func(*meter, int) (map[string]float64, int, error){"waits": waits,
 		"hangs": func(*meter, int) (map[string]float64, int, error) { <-hold; return nil, 0, nil }} {
 		from := time.Now()
-		out, err := ran(t, &slopes{Within: 50 * time.Millisecond, Procs: 1, late: 50 * time.Millisecond, measures: func() []measure {
-			return append(standIns(), measure{name, "hosts", "", "", []int{1, 10}, of})
+		out, err := runSlopes(t, &slopesCommand{Timeout: 50 * time.Millisecond, Procs: 1, overrunTimeout: 50 * time.Millisecond, measures: func() []measure {
+			return append(fakeMeasures(), measure{name, "hosts", "", "", []int{1, 10}, of})
 		}})
 		if time.Since(from) > 5*time.Second {
 			t.Errorf("%s: %v", name, time.Since(from))
@@ -135,7 +135,7 @@
 }
 
 // What makes no sense is turned down with what is wrong; nothing is measured.
-func Example_turnedDown() {
+func Example_rejectedCommandLines() {
 	for _, line := range []string{"slopes --within 0s", "slopes --procs 0", "slopes --most=-1", "slopes --only nothing", "slopes --within soon", "measure",
 		"check --results nowhere", "check --page nowhere.md --results ../../lab/results"} {
 		var c cli
@@ -157,7 +157,7 @@
 // Each measure works at its smallest size, the gateway up to its sockets included.
 func TestMeasures(t *testing.T) {
 	for _, m := range measures() {
-		values, _, err := m.of(&meter{ctx: context.Background(), counts: true}, m.sizes[0])
+		values, _, err := m.run(&meter{ctx: context.Background(), countsOnly: true}, m.sizes[0])
 		if err != nil || len(values) == 0 {
 			t.Errorf("%s: %v, %v", m.name, values, err)
 		}
--- a/tools/scale/target.go
+++ b/tools/scale/target.go
@@ -1,7 +1,7 @@
 package main
 
-// target is the fleet that the operators aim at. The page's table says the same; check compares them.
-var target = map[string]int{
+// targetFleet is the fleet that the operators aim at. The page's table says the same; check compares them.
+var targetFleet = map[string]int{
 	"gateways":    4400,
 	"hosts":       170_000,
 	"services":    3000,
@@ -17,9 +17,9 @@
 	"controldead": 5,      // of these, in the worst minute
 }
 
-// budgets are what a gateway may spend for control, the time in which a change is in force and what may be added to a transaction;
+// targetBudgets are what a gateway may spend for control, the time in which a change is in force and what may be added to a transaction;
 // seconds, bytes.
-var budgets = map[string]float64{
+var targetBudgets = map[string]float64{
 	"core":    0.017,  // seconds of a core a second
 	"memory":  256e6,  // bytes
 	"network": 6000,   // bytes a second
