--- a/tools/scale/check_test.go
+++ b/tools/scale/check_test.go
@@ -97,26 +97,26 @@
 // settings with more than 128 profiles can't be changed under way. Where one of them falls the page has to be written anew.
 func TestDocumentedLimits(t *testing.T) {
 	for n, want := range map[int]bool{128: true, 129: false} {
-		o, err := config.Parse(settingsJSON(targetFleet["gateways"], n, 0), 0)
+		instance, err := config.Parse(settingsJSON(targetFleet["gateways"], n, 0), 0)
 		if err == nil {
-			_, err = o.ParseUpdate(settingsJSON(targetFleet["gateways"], n, 0), 0)
+			_, err = instance.ParseUpdate(settingsJSON(targetFleet["gateways"], n, 0), 0)
 		}
 		if (err == nil) != want {
 			t.Errorf("%d profiles: %v", n, err)
 		}
 	}
-	was := slog.Default()
+	defaultLogger := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
-	defer slog.SetDefault(was)
+	defer slog.SetDefault(defaultLogger)
 	for n, want := range map[int]bool{27_000: true, 30_000: false} {
-		text, again, first := hostListJSON(n, true), make(chan struct{}, 99), true
+		text, secondRequest, first := hostListJSON(n, true), make(chan struct{}, 99), true
 		discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if first { // calls come one at a time
 				first = false
 				w.Write(text)
 				return
 			}
-			again <- struct{}{}
+			secondRequest <- struct{}{}
 			<-r.Context().Done()
 		}))
 		d, err := routing.NewDispatcher(settingsJSON(targetFleet["gateways"], defaultProfileCount, 0))
@@ -131,7 +131,7 @@
 		d.Start(7, discovery.Listener.Addr().String(), nil)
 		go d.Serve()
 		select {
-		case <-again:
+		case <-secondRequest:
 		case <-time.After(30 * time.Second):
 			t.Fatalf("%d hosts: not called for again", n)
 		}
--- a/tools/scale/fleet.go
+++ b/tools/scale/fleet.go
@@ -48,16 +48,16 @@
 
 type eventQueue []event
 
-func (d eventQueue) Len() int { return len(d) }
-func (d eventQueue) Less(i, j int) bool {
-	return d[i].at < d[j].at || d[i].at == d[j].at && d[i].seq < d[j].seq
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
-func (d eventQueue) Swap(i, j int) { d[i], d[j] = d[j], d[i] }
-func (d *eventQueue) Push(x any)   { *d = append(*d, x.(event)) }
-func (d *eventQueue) Pop() any {
-	old := *d
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
+func (q *eventQueue) Pop() any {
+	old := *q
 	last := old[len(old)-1]
-	*d = old[:len(old)-1]
+	*q = old[:len(old)-1]
 	return last
 }
 
@@ -93,10 +93,10 @@
 	})
 }
 
-func (m *fleetMember) SetTimer(in time.Duration) {
+func (m *fleetMember) SetTimer(delay time.Duration) {
 	m.timerSeq++
 	timer := m.timerSeq
-	m.fleet.schedule(in, func() {
+	m.fleet.schedule(delay, func() {
 		if m.timerSeq == timer {
 			m.TimerFired(m.fleet.now)
 		}
--- a/tools/scale/gateway.go
+++ b/tools/scale/gateway.go
@@ -90,7 +90,7 @@
 func (g *simulatedGateway) CloseIdleConnections(logic.HostID)      {}
 func (g *simulatedGateway) SendPeerMessage(int, []logic.PeerEntry) {}
 func (g *simulatedGateway) RequestHostList()                       {}
-func (g *simulatedGateway) SetTimer(in time.Duration)              { g.timerDue = g.now + in }
+func (g *simulatedGateway) SetTimer(delay time.Duration)           { g.timerDue = g.now + delay }
 func (g *simulatedGateway) Log(string)                             {}
 
 // advanceToTimer goes to the next of the module's own seconds, whose work comes with the call of Timer that is left to do.
--- a/tools/scale/growth_test.go
+++ b/tools/scale/growth_test.go
@@ -9,12 +9,12 @@
 // growthBounds is what grows today with a size, by counts that are the same each time. most and costs are today's code's: they may only
 // fall. needs is what the target asks for, by docs/CAPACITY.md; where it is below most, today's code grows too fast.
 var growthBounds = []struct {
-	key   string
-	sizes []int
-	most  float64 // exponent
-	costs float64 // at the largest of the sizes; the race detector's build allocates more, so there it is not held
-	needs float64 // exponent that the target needs
-	why   string
+	key            string
+	sizes          []int
+	maxExponent    float64 // exponent
+	maxValue       float64 // at the largest of the sizes; the race detector's build allocates more, so there it is not held
+	targetExponent float64 // exponent that the target needs
+	reason         string
 }{
 	{"list-one/alloc", []int{250, 500, 1000, 2000}, 1.16, 21176, 0, "a change costs by what changed: all hosts are sorted anew for one"},
 	{"list-one/allocs", []int{250, 500, 1000, 2000}, 0.16, 15, 0, "the same: the sorted ids grow by steps"},
@@ -61,12 +61,12 @@
 			if err != nil && s.Points[len(s.Points)-1].Value > 0 {
 				t.Fatal(err)
 			}
-			t.Logf("exponent %.3f, today's %.2f, the target needs %.0f: %s", f.Exponent, g.most, g.needs, g.why)
-			if !flat && f.Exponent > g.most+exponentTolerance {
-				t.Errorf("grows with the power %.3f of its size, %.2f until now: %v", f.Exponent, g.most, s.Points)
+			t.Logf("exponent %.3f, today's %.2f, the target needs %.0f: %s", f.Exponent, g.maxExponent, g.targetExponent, g.reason)
+			if !flat && f.Exponent > g.maxExponent+exponentTolerance {
+				t.Errorf("grows with the power %.3f of its size, %.2f until now: %v", f.Exponent, g.maxExponent, s.Points)
 			}
-			if end := s.Points[len(s.Points)-1]; !raceDetectorEnabled && end.Value > g.costs*(1+valueTolerance)+1 {
-				t.Errorf("%.0f at %d, %.0f until now", end.Value, end.Size, g.costs)
+			if end := s.Points[len(s.Points)-1]; !raceDetectorEnabled && end.Value > g.maxValue*(1+valueTolerance)+1 {
+				t.Errorf("%.0f at %d, %.0f until now", end.Value, end.Size, g.maxValue)
 			}
 		})
 	}
--- a/tools/scale/measures.go
+++ b/tools/scale/measures.go
@@ -230,9 +230,9 @@
 			return map[string]float64{"s": c.seconds, "allocs": c.allocations, "alloc": c.bytes, "text": float64(len(text))}, c.readings, err
 		}},
 		{"retune-tenants", "tenants", "settings in which nothing is new, taken in by the module", "4 profiles, " + fixedService, []int{100, 300, 1000, 3000, 10_000}, measureCost(func(n int) (_, _ func()) {
-			allHosts := makeTenants(n)
-			g := newTargetGateway(inFlightSources, defaultProfiles, allHosts, makeHosts(hostsPerService, targetFleet["zones"]))
-			return nil, func() { reconfigure(g, defaultProfiles, allHosts) }
+			allTenants := makeTenants(n)
+			g := newTargetGateway(inFlightSources, defaultProfiles, allTenants, makeHosts(hostsPerService, targetFleet["zones"]))
+			return nil, func() { reconfigure(g, defaultProfiles, allTenants) }
 		})},
 		{"retune-hosts", "hosts", "settings with one new profile, taken in by the module", fixedFleet, []int{300, 3000, 30_000, 170_000}, measureCost(func(n int) (before, _ func()) {
 			allHosts := makeHosts(n, targetFleet["zones"])
--- a/tools/scale/meter.go
+++ b/tools/scale/meter.go
@@ -45,7 +45,7 @@
 func (m *meter) measure(before, op func()) (c operationCost, err error) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	timed := func(n int) (spent time.Duration) {
+	measureTime := func(n int) (spent time.Duration) {
 		for range n {
 			if before != nil {
 				before()
@@ -57,7 +57,7 @@
 		return spent
 	}
 	if before == nil { // one reading for all
-		timed = func(n int) time.Duration {
+		measureTime = func(n int) time.Duration {
 			start := threadCPUTime()
 			for range n {
 				op()
@@ -66,13 +66,13 @@
 		}
 	}
 	if m.countsOnly {
-		timed(1) // what the first leaves behind for the next does not count
+		measureTime(1) // what the first leaves behind for the next does not count
 		c.seconds, c.readings = 1, 1
 		c.countAllocations(before, op, true)
 		return c, m.ctx.Err()
 	}
 	n := 1
-	for n < maxBatchOperations && timed(n) < minBatchCPUTime { // the first finds nothing in any cache, and does not count
+	for n < maxBatchOperations && measureTime(n) < minBatchCPUTime { // the first finds nothing in any cache, and does not count
 		n *= 2
 	}
 	c.seconds = math.Inf(1)
@@ -82,7 +82,7 @@
 		if err := m.ctx.Err(); err != nil {
 			return c, err
 		}
-		c.seconds = min(c.seconds, timed(n).Seconds()/float64(n))
+		c.seconds = min(c.seconds, measureTime(n).Seconds()/float64(n))
 		c.readings++
 	}
 	c.countAllocations(before, op, false)
@@ -122,16 +122,16 @@
 
 // retainedHeapBytes is the bytes that stay in use for what is built.
 func retainedHeapBytes(build func() any) float64 {
-	live := func() uint64 {
+	liveBytes := func() uint64 {
 		runtime.GC()
 		runtime.GC() // what the first has freed the second has swept
 		var stats runtime.MemStats
 		runtime.ReadMemStats(&stats)
 		return stats.HeapAlloc
 	}
-	before := live()
+	before := liveBytes()
 	built := build()
-	after := live()
+	after := liveBytes()
 	runtime.KeepAlive(built)
 	return max(0, float64(after)-float64(before))
 }
--- a/tools/scale/scale_test.go
+++ b/tools/scale/scale_test.go
@@ -110,20 +110,20 @@
 
 // It ends when its time is over: what was not measured is named, and one operation that doesn't end does not hold it.
 func TestEndsAtTimeout(t *testing.T) {
-	waits := func(m *meter, _ int) (map[string]float64, int, error) {
+	waitForTimeout := func(m *meter, _ int) (map[string]float64, int, error) {
 		<-m.ctx.Done()
 		return nil, 0, m.ctx.Err()
 	}
-	hold := make(chan struct{})
-	defer close(hold)
-	for name, of := range map[string]func(*meter, int) (map[string]float64, int, error){"waits": waits,
-		"hangs": func(*meter, int) (map[string]float64, int, error) { <-hold; return nil, 0, nil }} {
-		from := time.Now()
+	blocked := make(chan struct{})
+	defer close(blocked)
+	for name, run := range map[string]func(*meter, int) (map[string]float64, int, error){"waits": waitForTimeout,
+		"hangs": func(*meter, int) (map[string]float64, int, error) { <-blocked; return nil, 0, nil }} {
+		start := time.Now()
 		out, err := runSlopes(t, &slopesCommand{Timeout: 50 * time.Millisecond, Procs: 1, overrunTimeout: 50 * time.Millisecond, measures: func() []measure {
-			return append(fakeMeasures(), measure{name, "hosts", "", "", []int{1, 10}, of})
+			return append(fakeMeasures(), measure{name, "hosts", "", "", []int{1, 10}, run})
 		}})
-		if time.Since(from) > 5*time.Second {
-			t.Errorf("%s: %v", name, time.Since(from))
+		if time.Since(start) > 5*time.Second {
+			t.Errorf("%s: %v", name, time.Since(start))
 		}
 		switch {
 		case name == "waits" && (!errors.Is(err, errFailed) || !strings.Contains(out, "not measured: waits at 1, waits at 10")):
--- a/tools/scale/slopes.go
+++ b/tools/scale/slopes.go
@@ -42,8 +42,8 @@
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
 	type outcome struct {
-		r   *results
-		err error
+		results *results
+		err     error
 	}
 	done, progress, overrun := make(chan outcome, 1), make(chan string), closeAfterDone(ctx, cmp.Or(c.overrunTimeout, defaultOverrunTimeout))
 	go func() {
@@ -51,7 +51,7 @@
 		done <- outcome{r, err}
 	}()
 	var finished outcome
-	for finished.r == nil && finished.err == nil {
+	for finished.results == nil && finished.err == nil {
 		select {
 		case line := <-progress:
 			fmt.Fprintln(out, line)
@@ -63,16 +63,16 @@
 	if finished.err != nil {
 		return finished.err
 	}
-	fmt.Fprint(out, "\n", finished.r.growthTable())
-	if c.OutputFolder != "" && len(c.OnlyMeasures) == 0 && len(finished.r.Series) > 0 {
-		path, err := finished.r.save(c.OutputFolder, time.Now().UTC().Format("20060102-150405"))
+	fmt.Fprint(out, "\n", finished.results.growthTable())
+	if c.OutputFolder != "" && len(c.OnlyMeasures) == 0 && len(finished.results.Series) > 0 {
+		path, err := finished.results.save(c.OutputFolder, time.Now().UTC().Format("20060102-150405"))
 		if err != nil {
 			return err
 		}
 		fmt.Fprintln(out, "kept:", path)
 	}
-	if len(finished.r.Missing) > 0 {
-		fmt.Fprintln(out, "not measured:", strings.Join(finished.r.Missing, ", "))
+	if len(finished.results.Missing) > 0 {
+		fmt.Fprintln(out, "not measured:", strings.Join(finished.results.Missing, ", "))
 		return errFailed
 	}
 	return nil
@@ -147,14 +147,14 @@
 }
 
 func compareByUnit(a, b string) int {
-	rank := func(key string) int {
+	unitRank := func(key string) int {
 		_, unit, _ := strings.Cut(key, "/")
 		if i := slices.Index(unitOrder, unit); i >= 0 {
 			return i
 		}
 		return len(unitOrder)
 	}
-	if d := rank(a) - rank(b); d != 0 {
+	if d := unitRank(a) - unitRank(b); d != 0 {
 		return d
 	}
 	return strings.Compare(a, b)
@@ -164,37 +164,37 @@
 func (r *results) growthTable() string {
 	var s strings.Builder
 	s.WriteString("| series | by | exponent | at the large end | for each more there | at the largest | verdict |\n| --- | --- | --- | --- | --- | --- | --- |\n")
-	for _, k := range r.Series {
-		_, unit, _ := strings.Cut(k.Key, "/")
-		end := k.Points[len(k.Points)-1]
-		fmt.Fprintf(&s, "| `%s` | %s | %.2f | %.2f | %s | %s at %d | %s |\n", k.Key, k.SizeName, k.Fit.Exponent, k.Fit.TailExponent, formatAmount(k.Fit.TailSlope, unit),
-			formatAmount(end.Value, unit), end.Size, k.Fit.verdict())
+	for _, row := range r.Series {
+		_, unit, _ := strings.Cut(row.Key, "/")
+		end := row.Points[len(row.Points)-1]
+		fmt.Fprintf(&s, "| `%s` | %s | %.2f | %.2f | %s | %s at %d | %s |\n", row.Key, row.SizeName, row.Fit.Exponent, row.Fit.TailExponent, formatAmount(row.Fit.TailSlope, unit),
+			formatAmount(end.Value, unit), end.Size, row.Fit.verdict())
 	}
 	return s.String()
 }
 
 // formatAmount prints a value in the unit of a series, to two digits.
 func formatAmount(v float64, unit string) string {
-	type step struct {
-		least float64
-		name  string
+	type unitScale struct {
+		factor float64
+		unit   string
 	}
-	unitScales := []step{{1, ""}}
+	unitScales := []unitScale{{1, ""}}
 	switch unit {
 	case "s", "first", "change":
-		unitScales = []step{{1, "s"}, {1e-3, "ms"}, {1e-6, "µs"}, {1e-9, "ns"}}
+		unitScales = []unitScale{{1, "s"}, {1e-3, "ms"}, {1e-6, "µs"}, {1e-9, "ns"}}
 	case "alloc", "heap", "text":
-		unitScales = []step{{1e9, "GB"}, {1e6, "MB"}, {1e3, "KB"}, {1, "B"}}
+		unitScales = []unitScale{{1e9, "GB"}, {1e6, "MB"}, {1e3, "KB"}, {1, "B"}}
 	case "B/s", "worst-B/s":
-		unitScales = []step{{1e9, "GB/s"}, {1e6, "MB/s"}, {1e3, "KB/s"}, {1, "B/s"}}
+		unitScales = []unitScale{{1e9, "GB/s"}, {1e6, "MB/s"}, {1e3, "KB/s"}, {1, "B/s"}}
 	}
-	for _, k := range unitScales {
-		if v >= k.least || k == unitScales[len(unitScales)-1] {
+	for _, scale := range unitScales {
+		if v >= scale.factor || scale == unitScales[len(unitScales)-1] {
 			format := "%.3g %s"
-			if v/k.least >= 1000 {
+			if v/scale.factor >= 1000 {
 				format = "%.0f %s"
 			}
-			return strings.TrimSpace(fmt.Sprintf(format, v/k.least, k.name))
+			return strings.TrimSpace(fmt.Sprintf(format, v/scale.factor, scale.unit))
 		}
 	}
 	return ""
