--- a/tools/scale/chart.go
+++ b/tools/scale/chart.go
@@ -17,10 +17,10 @@
 const (
 	panelWidth   = 14 * vg.Centimeter // of one panel
 	panelHeight  = 10 * vg.Centimeter
-	panelsPerRow = 3 // panels
+	panelsPerRow = 3 // panels in one row of the chart
 )
 
-// drawChart draws one panel for each unit and size, both axes by logarithm: a power law is a straight line there.
+// drawChart writes an SVG with one panel for each unit and kind of size. Both axes are logarithmic, so that a power law is a straight line.
 func (r *results) drawChart(path string) error {
 	var panels []string
 	seriesByPanel := map[string][]*series{}
@@ -70,10 +70,10 @@
 			name, _, _ := strings.Cut(s.Key, "/")
 			panel.Legend.Add(fmt.Sprintf("%s ^%.2f", name, s.Fit.Exponent), line, points)
 		}
-		if drawn == 0 { // no axis by logarithm without a value above zero
+		if drawn == 0 { // a logarithmic axis needs a value above zero
 			continue
 		}
-		panel.X.Min, panel.X.Max = x.low/1.2, x.high*1.2 // what is flat would else get an axis below zero
+		panel.X.Min, panel.X.Max = x.low/1.2, x.high*1.2 // a flat series would otherwise get an axis below zero
 		panel.Y.Min, panel.Y.Max = y.low/1.2, y.high*1.2
 		panel.Draw(tiles.At(page, i%panelsPerRow, i/panelsPerRow))
 	}
@@ -88,9 +88,10 @@
 	return f.Close()
 }
 
-// axisRange is what an axis spans.
+// axisRange is the range of values on an axis; high is 0 while it is empty.
 type axisRange struct{ low, high float64 }
 
+// including returns the range extended to a value.
 func (w axisRange) including(v float64) axisRange {
 	if w.high == 0 {
 		return axisRange{v, v}
--- a/tools/scale/check.go
+++ b/tools/scale/check.go
@@ -12,26 +12,26 @@
 	"strings"
 )
 
-// checkCommand holds the pages against the last results and the target.
+// checkCommand checks the tables of pages against the latest results and the target.
 type checkCommand struct {
-	Pages   []string `name:"page" default:"docs/CAPACITY.md,docs/fleet-state.md" help:"The pages; may be given more than once."`
-	Results string   `default:"lab/results" help:"Folder of the results kept."`
+	Pages   []string `name:"page" default:"docs/CAPACITY.md,docs/fleet-state.md" help:"Pages to check; may be given more than once."`
+	Results string   `default:"lab/results" help:"Folder of the saved results."`
 }
 
 const (
-	maxFigureDeviation   = 0.06 // by which a figure of the page may be off what the results give: two digits, rounded
-	maxExponentDeviation = 0.05 // ditto for exponents, which are told to two places
+	maxFigureDeviation   = 0.06 // of a page's figure from the results; pages round to two digits
+	maxExponentDeviation = 0.05 // of a page's exponent from the results; pages give two decimal places
 )
 
-// Run compares, names each line that is wrong, and fails where one is.
+// Run checks all pages, reports each wrong line and returns errFailed if there is one.
 //
-// What it looks at are tables with certain columns; all others are prose:
-//   - target, value: the target's sizes and budgets, by name;
-//   - series, exponent, and where there is one at the largest: growth, as slopes prints it;
-//   - figure, run: a figure and the sum that gives it. A sum is terms joined by +, each of factors joined by * and /, from left to right. A factor is a number, a
-//     size or budget of the target, key@size (the value that the results give there) or key~ (its slope at the large end, for each
-//     more). With a column budget, which names one, the column verdict must be met, or missed with how many times over it the figure
-//     is, or not measured where there is no run.
+// It checks tables with certain columns and ignores all others:
+//   - target, value: the sizes and budgets of the target, by name;
+//   - series, exponent and optionally "at the largest": growth, as slopes prints it;
+//   - figure, run: a figure and the expression that yields it. An expression is a sum of terms, each of factors joined by * and /, from left
+//     to right. A factor is a number, a size or budget of the target, key@size (the value of the series at that size) or key~ (its slope at
+//     the large end, per unit of size). If there is a column budget, which names one, the column verdict has to be "met", "missed N times"
+//     with the figure divided by the budget, or "not measured" where run is "-".
 func (c *checkCommand) Run(out io.Writer) error {
 	r, path, err := loadLatest(c.Results)
 	if err != nil {
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// checkPage compares all tables of a page and tells how many figures it found and what is wrong, by line.
+// checkPage checks all tables of a page. It returns the number of figures checked and a message with its line for each that is wrong.
 func (r *results) checkPage(page, resultsFile string) (figures int, wrong []string) {
 	var columns []string
 	report := func(i int, format string, args ...any) {
@@ -66,7 +66,7 @@
 	for i, line := range strings.Split(page, "\n") {
 		for _, name := range resultsFilePattern.FindAllString(line, -1) {
 			if resultsNamed = true; name != resultsFile {
-				report(i, "%s is named, the last results are %s", name, resultsFile)
+				report(i, "%s is named, but the latest results are %s", name, resultsFile)
 			}
 		}
 		if !strings.HasPrefix(line, "|") {
@@ -81,7 +81,7 @@
 		case strings.HasPrefix(cells[0], "---"):
 			continue
 		case len(cells) != len(columns):
-			report(i, "%d cells under %d columns", len(cells), len(columns))
+			report(i, "%d cells in a table with %d columns", len(cells), len(columns))
 			continue
 		}
 		cell := func(name string) string {
@@ -107,7 +107,7 @@
 		}
 	}
 	if !resultsNamed {
-		wrong = append(wrong, " no run of "+resultsFilePrefix+" is named")
+		wrong = append(wrong, " no results file "+resultsFilePrefix+"*.json is named")
 	}
 	if figures == 0 {
 		wrong = append(wrong, " no figures found")
@@ -121,10 +121,11 @@
 	missedPattern      = regexp.MustCompile(`^missed ([0-9][0-9,]*(?:\.[0-9]+)?) times$`)
 )
 
-// unitFactors are units of time and bytes as the page writes them. Any other word belongs to what is counted.
+// unitFactors maps the units of time and bytes on the pages to factors. Any other word after a number is a part of the prose.
 var unitFactors = map[string]float64{"ns": 1e-9, "µs": 1e-6, "ms": 1e-3, "s": 1, "B": 1, "KB": 1e3, "MB": 1e6, "GB": 1e9, "%": 0.01,
 	"B/s": 1, "KB/s": 1e3, "MB/s": 1e6, "GB/s": 1e9}
 
+// splitCells returns the cells of a table's line, without the marks of code.
 func splitCells(line string) (cells []string) {
 	for _, cell := range strings.Split(strings.Trim(strings.TrimSpace(line), "|"), "|") {
 		cells = append(cells, strings.Trim(strings.TrimSpace(cell), "`"))
@@ -132,11 +133,11 @@
 	return cells
 }
 
-// parseQuantity reads a figure with its unit.
+// parseQuantity parses a figure with its unit.
 func parseQuantity(text string) (float64, error) {
 	m := quantityPattern.FindStringSubmatch(text)
 	if m == nil {
-		return 0, fmt.Errorf("%q is no figure", text)
+		return 0, fmt.Errorf("%q is not a number", text)
 	}
 	v, err := strconv.ParseFloat(strings.ReplaceAll(m[1], ",", ""), 64)
 	if scale, known := unitFactors[m[2]]; known {
@@ -145,11 +146,12 @@
 	return v, err
 }
 
+// withinTolerance reports whether a deviates from b by no more than a fraction of b.
 func withinTolerance(a, b, tolerance float64) bool {
 	return math.Abs(a-b) <= tolerance*math.Abs(b)+1e-12
 }
 
-// targetValue is a size or budget of the target.
+// targetValue returns a size or budget of the target by its name.
 func targetValue(name string) (v float64, known bool) {
 	if n, known := targetFleet[name]; known {
 		return float64(n), true
@@ -158,6 +160,7 @@
 	return v, known
 }
 
+// checkTarget checks a row with a size or budget of the target.
 func checkTarget(name, value string) error {
 	want, known := targetValue(name)
 	v, err := parseQuantity(value)
@@ -165,13 +168,14 @@
 	case err != nil:
 		return err
 	case !known:
-		return fmt.Errorf("%q is not of the target", name)
+		return fmt.Errorf("%q is not in the target", name)
 	case !withinTolerance(v, want, 1e-9):
 		return fmt.Errorf("%s is %s here, %g in the target", name, value, want)
 	}
 	return nil
 }
 
+// checkGrowth checks a row with the growth of a series. largest may be empty.
 func (r *results) checkGrowth(key, exponent, largest string) error {
 	s := r.findSeries(key)
 	v, err := strconv.ParseFloat(exponent, 64)
@@ -192,10 +196,11 @@
 	return err
 }
 
+// checkFigure checks a row with a figure, the expression that yields it and, if the table has budgets, the verdict.
 func (r *results) checkFigure(figure, expression, budget, verdict string, budgeted bool) error {
 	if expression == "-" {
 		if budgeted && verdict != "not measured" {
-			return fmt.Errorf("no run, and the verdict is %q, not: not measured", verdict)
+			return fmt.Errorf("without a run the verdict has to be: not measured, but it is %q", verdict)
 		}
 		return nil
 	}
@@ -208,32 +213,32 @@
 		return err
 	}
 	if !withinTolerance(v, want, maxFigureDeviation) {
-		return fmt.Errorf("%s here, %.3g by %s", figure, want, expression)
+		return fmt.Errorf("%s here, but %.3g by %s", figure, want, expression)
 	}
 	if !budgeted || budget == "-" {
 		return nil
 	}
 	limit, known := targetValue(budget)
 	if !known {
-		return fmt.Errorf("budget %q is not of the target", budget)
+		return fmt.Errorf("budget %q is not in the target", budget)
 	}
 	if want <= limit {
 		if verdict != "met" {
-			return fmt.Errorf("%q, but %.3g is within %s, %g", verdict, want, budget, limit)
+			return fmt.Errorf("verdict %q, but %.3g is within the budget %s of %g", verdict, want, budget, limit)
 		}
 		return nil
 	}
 	m := missedPattern.FindStringSubmatch(verdict)
 	if m == nil {
-		return fmt.Errorf("%q, but %.3g is over %s, %g", verdict, want, budget, limit)
+		return fmt.Errorf("verdict %q, but %.3g exceeds the budget %s of %g", verdict, want, budget, limit)
 	}
 	if times, err := strconv.ParseFloat(strings.ReplaceAll(m[1], ",", ""), 64); err != nil || !withinTolerance(times, want/limit, maxFigureDeviation) {
-		return fmt.Errorf("%q, but it is %.3g times %s", verdict, want/limit, budget)
+		return fmt.Errorf("verdict %q, but the figure is %.3g times the budget %s", verdict, want/limit, budget)
 	}
 	return nil
 }
 
-// evaluateExpression works out what a figure's run cell says.
+// evaluateExpression returns the value of a figure's expression.
 func (r *results) evaluateExpression(text string) (sum float64, err error) {
 	for _, term := range strings.Split(text, " + ") {
 		product, operator := 1.0, "*"
@@ -258,6 +263,7 @@
 	return sum, nil
 }
 
+// evaluateFactor returns the value of a number, of a name of the target, of key@size or of key~.
 func (r *results) evaluateFactor(text string) (float64, error) {
 	if v, err := strconv.ParseFloat(strings.ReplaceAll(text, ",", ""), 64); err == nil {
 		return v, nil
@@ -282,7 +288,7 @@
 	if !isTarget {
 		var err error
 		if size, err = strconv.ParseFloat(strings.ReplaceAll(sizeText, ",", ""), 64); err != nil || size < 1 {
-			return 0, fmt.Errorf("%q is no size", sizeText)
+			return 0, fmt.Errorf("%q is not a size", sizeText)
 		}
 	}
 	return s.forecast(int(size)), nil
--- a/tools/scale/check_test.go
+++ b/tools/scale/check_test.go
@@ -38,7 +38,7 @@
 | not | looked at |
 `
 
-// The page holds where it says what results and target give; each figure, verdict or name that says other is told with its line.
+// A page is accepted if it agrees with the results and the target. Each figure, verdict or name that differs is reported with its line.
 func Example_hold() {
 	r := &results{}
 	for _, unit := range []string{"s", "heap"} {
@@ -62,30 +62,30 @@
 	}
 	// Output:
 	// 7 []
-	// "slopes-1" to "slopes-0": 1: slopes-0.json is named, the last results are slopes-1.json
+	// "slopes-1" to "slopes-0": 1: slopes-0.json is named, but the latest results are slopes-1.json
 	// "170,000 |" to "17,000 |": 5: hosts is 17,000 here, 170000 in the target
 	// "17 ms" to "18 ms": 6: core is 18 ms a second here, 0.017 in the target
-	// "| core | 17" to "| cores | 17": 6: "cores" is not of the target
+	// "| core | 17" to "| cores | 17": 6: "cores" is not in the target
 	// "| 1.00 |" to "| 1.10 |": 10: exponent of twice/s is 1.10 here, 1.00 in the results
 	// "200 µs" to "20 µs": 10: twice/s is 20 µs at 100 here, 0.0002 at 100 in the results
 	// "at 100 |" to "at 10 |": 10: twice/s is 200 µs at 10 here, 0.0002 at 100 in the results
 	// "twice/s`" to "thrice/s`": 10: "thrice/s" is not among the results
-	// "340 ms" to "34 ms": 14: 34 ms a second here, 0.34 by twice/s@hosts
-	// "340 ms" to "340 s": 14: 340 s a second here, 0.34 by twice/s@hosts
-	// "340 ms a" to "much a": 14: "much a second" is no figure
-	// "missed 20 times" to "met": 14: "met", but 0.34 is over core, 0.017
-	// "missed 20 times" to "missed 2 times": 14: "missed 2 times", but it is 20 times core
-	// "missed 20 times" to "not measured": 14: "not measured", but 0.34 is over core, 0.017
-	// "| core | met" to "| core | missed 2 times": 15: "missed 2 times", but 0.0052 is within core, 0.017
-	// "| core | met" to "| size | met": 15: budget "size" is not of the target
-	// "not measured" to "met": 16: no run, and the verdict is "met", not: not measured
-	// "@1,000" to "@many": 15: "many" is no size
+	// "340 ms" to "34 ms": 14: 34 ms a second here, but 0.34 by twice/s@hosts
+	// "340 ms" to "340 s": 14: 340 s a second here, but 0.34 by twice/s@hosts
+	// "340 ms a" to "much a": 14: "much a second" is not a number
+	// "missed 20 times" to "met": 14: verdict "met", but 0.34 exceeds the budget core of 0.017
+	// "missed 20 times" to "missed 2 times": 14: verdict "missed 2 times", but the figure is 20 times the budget core
+	// "missed 20 times" to "not measured": 14: verdict "not measured", but 0.34 exceeds the budget core of 0.017
+	// "| core | met" to "| core | missed 2 times": 15: verdict "missed 2 times", but 0.0052 is within the budget core of 0.017
+	// "| core | met" to "| size | met": 15: budget "size" is not in the target
+	// "not measured" to "met": 16: without a run the verdict has to be: not measured, but it is "met"
+	// "@1,000" to "@many": 15: "many" is not a size
 	// "s~" to "s": 15: "twice/s" has neither a size nor ~
-	// "| - | - |\n\n" to "| - |\n\n": 17: 4 cells under 5 columns
-	// "all" to "nothing":  no run of slopes- is named; no figures found
+	// "| - | - |\n\n" to "| - |\n\n": 17: 4 cells in a table with 5 columns
+	// "all" to "nothing":  no results file slopes-*.json is named; no figures found
 }
 
-// The pages in this repository say what the last results and the target give. That is what CI runs; it measures nothing.
+// The pages of this repository agree with the latest saved results and the target. Nothing is measured.
 func TestPagesMatchResults(t *testing.T) {
 	var out strings.Builder
 	if err := (&checkCommand{Pages: []string{"../../docs/CAPACITY.md", "../../docs/fleet-state.md"}, Results: "../../lab/results"}).Run(&out); err != nil {
@@ -93,8 +93,8 @@
 	}
 }
 
-// Two bounds of today's program that the page names: a list over 4 MB is turned away, so that a gateway without another is never ready; and
-// settings with more than 128 profiles can't be changed under way. Where one of them falls the page has to be written anew.
+// Two limits of the gateway that docs/CAPACITY.md names: it rejects a host list over 4 MB, so that a gateway without an earlier list never gets
+// ready, and settings with more than 128 profiles can't be reloaded. If one of the limits goes, the page has to change.
 func TestDocumentedLimits(t *testing.T) {
 	for n, want := range map[int]bool{128: true, 129: false} {
 		instance, err := config.Parse(settingsJSON(targetFleet["gateways"], n, 0), 0)
@@ -111,7 +111,7 @@
 	for n, want := range map[int]bool{27_000: true, 30_000: false} {
 		text, secondRequest, first := hostListJSON(n, true), make(chan struct{}, 99), true
 		discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			if first { // calls come one at a time
+			if first { // requests come one at a time
 				first = false
 				w.Write(text)
 				return
@@ -133,11 +133,11 @@
 		select {
 		case <-secondRequest:
 		case <-time.After(30 * time.Second):
-			t.Fatalf("%d hosts: not called for again", n)
+			t.Fatalf("%d hosts: no second request for the host list", n)
 		}
 		if d.Ready() != want {
 			t.Errorf("%d hosts, %d bytes: ready %t", n, len(text), d.Ready())
 		}
-		ln.Close() // the gateway and its discovery end with the process: its call waits
+		ln.Close() // the gateway and its discovery server run until the process ends, as the gateway's request waits there
 	}
 }
--- a/tools/scale/dispatcher.go
+++ b/tools/scale/dispatcher.go
@@ -16,13 +16,14 @@
 )
 
 const (
-	hostChangeCount   = 6               // told one after the other, of which the quickest counts
-	hostChangeTimeout = 5 * time.Second // for one: far over any
+	hostChangeCount   = 6               // sent one after the other; the quickest counts
+	hostChangeTimeout = 5 * time.Second // for one change; far longer than any takes
 )
 
-// measureDispatcher is the gateway's own program up to its sockets: a known list at the start, then a stand-in for discovery on loopback that tells
-// one change of one host after the other. It gives the time until the known list is in hand, and the least time from a change's answer to
-// the next call, by the clock on the wall: within it the list is read, taken in and told to the module.
+// measureDispatcher runs the gateway up to its sockets. It starts with a known host list; then a fake discovery server on loopback sends
+// changes of one host, one after the other. It returns, as wall-clock times, how long the start with the known list takes and the shortest
+// time from the response with a change to the next request, in which the change is parsed and passed to the decision core. The third value is
+// the memory of the gateway with the list.
 func measureDispatcher(ctx context.Context, hostCount int) (values map[string]float64, err error) {
 	defaultLogger := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
@@ -56,7 +57,7 @@
 		listener.Close()
 		return nil, err
 	}
-	go discovery.Serve(at) // it ends with the process, as the gateway does: its calls wait there, and one refused would come again at once
+	go discovery.Serve(at) // runs until the process ends, as the gateway does: its requests wait here, and a refused one would be retried at once
 	defer listener.Close()
 	values = map[string]float64{}
 	values["heap"] = retainedHeapBytes(func() any {
@@ -70,7 +71,7 @@
 		case at := <-requests:
 			return at, nil
 		case <-time.After(hostChangeTimeout):
-			return time.Time{}, fmt.Errorf("no call for the list within %v", hostChangeTimeout)
+			return time.Time{}, fmt.Errorf("no request for the host list within %v", hostChangeTimeout)
 		case <-ctx.Done():
 			return time.Time{}, ctx.Err()
 		}
@@ -99,7 +100,8 @@
 	return values, nil
 }
 
-// hostListRequestBytes is the size of a call for the list and of the head of its answer, as the gateway and a usual server write them.
+// hostListRequestBytes returns the size of a request for the host list plus that of the response header, as the gateway and a common HTTP
+// server write them.
 func hostListRequestBytes() int {
 	n := 0
 	for _, part := range protocol.EncodeGet(protocol.WatchTarget(1_000_000, 20*time.Second), "10.0.0.1:8080") {
--- a/tools/scale/fit.go
+++ b/tools/scale/fit.go
@@ -8,29 +8,29 @@
 )
 
 const (
-	tailPointCount       = 3    // largest points by which growth at the large end is told
-	maxPowerLawDeviation = 0.25 // of the fitted value, over which a point is not on the line: forecasts that far off are findings
+	tailPointCount       = 3    // largest points, from which the growth at the large end is taken
+	maxPowerLawDeviation = 0.25 // of the fitted value; a forecast that is further off counts as a finding
 )
 
-// point is what was measured at one size.
+// point is the value measured at one size.
 type point struct {
 	Size        int     `json:"size"`
-	Value       float64 `json:"value"` // in the unit of its series
-	Repetitions int     `json:"reps"`  // repetitions of which this is the least (times) or the mean (counts)
+	Value       float64 `json:"value"` // in the unit of the series
+	Repetitions int     `json:"reps"`  // repetitions of which the value is the lowest (times) or the mean (counts)
 }
 
 // fit is the growth of a series: value = Factor * size^Exponent, by least squares on logarithms.
 type fit struct {
 	Exponent         float64 `json:"exponent"`
-	Factor           float64 `json:"factor"`   // value at size 1, by the fit
-	TailExponent     float64 `json:"tail"`     // exponent by the largest points alone
-	TailSlope        float64 `json:"per_unit"` // slope of a straight line through the largest points, value for each unit of size
-	MaxDeviation     float64 `json:"off"`      // the most that a point is off the fit, as a share of the fitted value
-	MaxDeviationSize int     `json:"off_at"`   // the size where it is
-	IsPowerLaw       bool    `json:"line"`     // no point is off by more than a quarter
+	Factor           float64 `json:"factor"`   // fitted value at size 1
+	TailExponent     float64 `json:"tail"`     // exponent fitted to the largest points alone
+	TailSlope        float64 `json:"per_unit"` // slope of a straight line fitted to the largest points, in value per unit of size
+	MaxDeviation     float64 `json:"off"`      // largest deviation of a point from the fit, as a fraction of the fitted value
+	MaxDeviationSize int     `json:"off_at"`   // size of that point
+	IsPowerLaw       bool    `json:"line"`     // no point deviates by more than maxPowerLawDeviation
 }
 
-// logarithms are the logarithms of those points that have any.
+// logarithms returns the logarithms of the points with a positive size and value.
 func logarithms(points []point) (x, y []float64) {
 	for _, p := range points {
 		if p.Size > 0 && p.Value > 0 {
@@ -40,7 +40,7 @@
 	return x, y
 }
 
-// fitPowerLaw fits the growth; it needs two points above zero.
+// fitPowerLaw fits a power law to the points; it needs two points above zero.
 func fitPowerLaw(points []point) (f fit, err error) {
 	x, y := logarithms(points)
 	if len(x) < 2 {
@@ -67,9 +67,11 @@
 	return f, nil
 }
 
+// valueAt returns the fitted value at a size.
 func (f fit) valueAt(size int) float64 { return f.Factor * math.Pow(float64(size), f.Exponent) }
 
-// forecast is the value at a size: between points by the power law through them, beyond the last by the growth of the largest ones.
+// forecast returns the expected value at a size: between two points by the power law through them, beyond the last point by the growth of the
+// largest ones.
 func (s *series) forecast(size int) float64 {
 	last := s.Points[len(s.Points)-1]
 	for i, p := range s.Points {
@@ -88,12 +90,12 @@
 	return last.Value * math.Pow(float64(size)/float64(last.Size), s.Fit.TailExponent)
 }
 
-// covers tells whether a size lies within what was measured.
+// covers reports whether a size lies within the measured sizes.
 func (s *series) covers(size int) bool {
 	return s.Points[0].Size <= size && size <= s.Points[len(s.Points)-1].Size
 }
 
-// verdict says where a line is no line.
+// verdict says whether the series follows a power law, which is a straight line on logarithmic axes, and if not where it deviates most.
 func (f fit) verdict() string {
 	if f.IsPowerLaw {
 		return fmt.Sprintf("line (%.0f%% off at the most)", 100*f.MaxDeviation)
--- a/tools/scale/fleet.go
+++ b/tools/scale/fleet.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	messageDelay         = time.Millisecond // of a message between gateways, and of a probe there and back
-	fleetWarmUpDuration  = time.Second      // before messages count: times and paces are learnt
-	fleetCountedDuration = 2 * time.Second  // for which they count
-	minCommittedFraction = 0.9              // of transactions that must be committed, or something else was measured
+	messageDelay         = time.Millisecond // one way between gateways, and for the round trip of a probe
+	fleetWarmUpDuration  = time.Second      // before messages are counted, so that latencies and relative speeds are learnt
+	fleetCountedDuration = 2 * time.Second  // for which messages are counted
+	minCommittedFraction = 0.9              // of the transactions; below it the fleet is not in its usual state and the measurement is not valid
 )
 
-// fleet is many gateways that tell each other, in virtual time: the real module in each and the real messages, with no sockets. Every hop
-// is committed after the same time.
+// fleet simulates gateways that exchange peer messages, in virtual time and without sockets. Each gateway runs the real decision core and
+// sends really encoded messages. Every hop commits after the same latency.
 type fleet struct {
 	now                         time.Duration
 	lastEventSeq                int
@@ -35,17 +35,19 @@
 	*logic.Balancer
 	fleet                                                    *fleet
 	index                                                    int
-	timerSeq                                                 int // of the one that is set
+	timerSeq                                                 int // number of the timer that is set; earlier ones are void
 	openHops                                                 map[logic.TxID]logic.HostID
 	sentBytes, receivedBytes, sentMessages, receivedMessages int
 }
 
+// event is a callback at a point in virtual time; seq keeps the order of events at the same time.
 type event struct {
 	at  time.Duration
 	seq int
 	run func()
 }
 
+// eventQueue is a heap of events, the earliest first.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
@@ -61,6 +63,7 @@
 	return last
 }
 
+// schedule runs a callback after a delay in virtual time.
 func (f *fleet) schedule(delay time.Duration, run func()) {
 	f.lastEventSeq++
 	heap.Push(&f.events, event{f.now + delay, f.lastEventSeq, run})
@@ -68,7 +71,7 @@
 
 func (m *fleetMember) SendHop(id logic.TxID, host logic.HostID, _ time.Duration) {
 	if _, again := m.openHops[id]; again {
-		m.fleet.err = fmt.Errorf("a second hop though all are committed")
+		m.fleet.err = fmt.Errorf("a transaction got a second hop although every hop commits")
 	}
 	m.openHops[id] = host
 	m.fleet.schedule(hopLatency, func() {
@@ -113,7 +116,7 @@
 	}
 }
 
-// deliver has one datagram go to another gateway. Headers of IP and UDP are not counted.
+// deliver sends one datagram to another gateway. The counted bytes leave out IP and UDP headers.
 func (m *fleetMember) deliver(to *fleetMember, msg []byte) {
 	if m.fleet.counting {
 		m.sentMessages, m.sentBytes = m.sentMessages+1, m.sentBytes+len(msg)
@@ -129,7 +132,8 @@
 	})
 }
 
-// measurePeerMessages plays a fleet and gives what a gateway sends and receives in a second: the mean and the worst; and the probes of a host.
+// measurePeerMessages simulates a fleet and returns the bytes and messages that a gateway sends and receives per second, as the mean and for
+// the busiest gateway, and the probes that a host gets per second.
 func measurePeerMessages(ctx context.Context, gatewayCount, hostCount, zoneCount, transactionsPerSecond int) (map[string]float64, error) {
 	f := &fleet{now: time.Hour}
 	var err error
@@ -168,7 +172,7 @@
 		return nil, f.err
 	}
 	if float64(f.committed) < minCommittedFraction*float64(f.received) {
-		return nil, fmt.Errorf("%d of %d committed: the fleet gave up, so nothing was measured", f.committed, f.received)
+		return nil, fmt.Errorf("only %d of %d transactions committed: the measurement is not valid", f.committed, f.received)
 	}
 	seconds, meanBytes, worstBytes, meanMessages, worstMessages := fleetCountedDuration.Seconds(), 0.0, 0.0, 0.0, 0.0
 	for _, m := range f.members {
--- a/tools/scale/gateway.go
+++ b/tools/scale/gateway.go
@@ -11,20 +11,21 @@
 )
 
 const (
-	defaultProfileCount       = 4                     // where profiles are not what varies: kinds of work of one service
-	peakTransactionsPerSecond = 455                   // transactions a second and gateway: 2 million over 4,400
-	hopLatency                = 20 * time.Millisecond // of a host, for each hop
-	concurrentTransactions    = 9                     // transactions: those of 20 ms at 455 a second
-	hostsPerService           = 57                    // of a service: 170,000 over 3,000
+	defaultProfileCount       = 4                     // request classes of one service, where the number of profiles is not what varies
+	peakTransactionsPerSecond = 455                   // per gateway: 2 million over 4,400 gateways
+	hopLatency                = 20 * time.Millisecond // of every hop
+	concurrentTransactions    = 9                     // 455 a second for 20 ms each
+	hostsPerService           = 57                    // 170,000 hosts over 3,000 services
 )
 
-// What gateways learn of hosts, beside the ends of their own hops.
+// What gateways learn about hosts beside the results of their own hops.
 var (
-	inFlightSources = logic.InformationSources{ResponsesReportInFlight: true, ResponsesReportLoad: true, ExtraProbesAllowed: true} // answers say what hosts hold
-	loadSources     = logic.InformationSources{ResponsesReportLoad: true}                                                          // answers say how hosts are loaded
-	noSources       = logic.InformationSources{}                                                                                   // nothing
+	inFlightSources = logic.InformationSources{ResponsesReportInFlight: true, ResponsesReportLoad: true, ExtraProbesAllowed: true} // responses carry the requests in flight, and probes are allowed
+	loadSources     = logic.InformationSources{ResponsesReportLoad: true}                                                          // responses carry load reports without requests in flight
+	noSources       = logic.InformationSources{}                                                                                   // no information
 )
 
+// makeProfiles returns n idempotent profiles with the same service goal and revenue.
 func makeProfiles(n int) []logic.Profile {
 	profiles := make([]logic.Profile, n)
 	for i := range profiles {
@@ -33,6 +34,7 @@
 	return profiles
 }
 
+// makeTenants returns n tenants with the same quota.
 func makeTenants(n int) []logic.Tenant {
 	tenants := make([]logic.Tenant, n)
 	for i := range tenants {
@@ -41,6 +43,7 @@
 	return tenants
 }
 
+// makeZones returns the names of n zones.
 func makeZones(n int) []string {
 	zones := make([]string, n)
 	for i := range zones {
@@ -49,7 +52,7 @@
 	return zones
 }
 
-// makeHosts are spread evenly over the zones.
+// makeHosts returns hosts that are spread evenly over the zones.
 func makeHosts(n, zoneCount int) []logic.Host {
 	zones, hosts := makeZones(zoneCount), make([]logic.Host, n)
 	for i := range hosts {
@@ -58,13 +61,14 @@
 	return hosts
 }
 
-// simulatedGateway is the module alone, with a clock that is moved by hand. What it wants done is counted.
+// simulatedGateway is the decision core alone, with a clock that the caller advances. It counts the actions that the core asks for.
 type simulatedGateway struct {
 	*logic.Balancer
-	now, timerDue                      time.Duration // due is 0 where no timer is set
+	now, timerDue                      time.Duration // timerDue is 0 if no timer is set
 	hopsSent, unsuccessful, probesSent int
 }
 
+// newGateway returns a gateway without hosts, whose clock starts at one hour.
 func newGateway(gatewayCount int, sources logic.InformationSources, profiles []logic.Profile, tenants []logic.Tenant) *simulatedGateway {
 	g := &simulatedGateway{now: time.Hour}
 	sources.MaxListPollInterval = 10 * time.Second
@@ -74,7 +78,7 @@
 	return g
 }
 
-// newTargetGateway is a gateway of the target's fleet.
+// newTargetGateway returns a gateway of the target fleet with the given hosts.
 func newTargetGateway(sources logic.InformationSources, profiles []logic.Profile, tenants []logic.Tenant, hosts []logic.Host) *simulatedGateway {
 	g := newGateway(targetFleet["gateways"], sources, profiles, tenants)
 	g.HostListReceived(g.now, logic.ListComplete, hosts)
@@ -93,12 +97,12 @@
 func (g *simulatedGateway) SetTimer(delay time.Duration)           { g.timerDue = g.now + delay }
 func (g *simulatedGateway) Log(string)                             {}
 
-// advanceToTimer goes to the next of the module's own seconds, whose work comes with the call of Timer that is left to do.
+// advanceToTimer moves the clock to when the timer is due. The caller calls TimerFired, which does the periodic work.
 func (g *simulatedGateway) advanceToTimer() {
 	g.now, g.timerDue = g.timerDue, 0
 }
 
-// trafficGenerator plays transactions, as many a second and as many at once as at the target's peak.
+// trafficGenerator sends transactions at the rate and concurrency of the target's peak.
 type trafficGenerator struct {
 	*simulatedGateway
 	id   logic.TxID
@@ -106,7 +110,7 @@
 	load logic.LoadReport
 }
 
-// nextTransaction takes a transaction and ends the oldest.
+// nextTransaction starts a transaction and, if enough are open, commits the oldest.
 func (p *trafficGenerator) nextTransaction() {
 	p.now += time.Second / peakTransactionsPerSecond
 	p.id++
@@ -121,7 +125,7 @@
 	}
 }
 
-// hostListJSON is discovery's word on so many hosts.
+// hostListJSON returns a host list of n hosts as discovery sends it, either complete or as a change.
 func hostListJSON(n int, full bool) []byte {
 	l := makeHostList(n)
 	l.Full = full
@@ -132,6 +136,7 @@
 	return text
 }
 
+// makeHostList returns a complete host list of n hosts.
 func makeHostList(n int) *protocol.HostList {
 	l := &protocol.HostList{Revision: 4, Full: true}
 	zones := makeZones(targetFleet["zones"])
@@ -142,7 +147,7 @@
 	return l
 }
 
-// settingsJSON are a gateway's as its file holds them.
+// settingsJSON returns a gateway's settings as in its configuration file.
 func settingsJSON(gatewayCount, profileCount, tenantCount int) []byte {
 	type object = map[string]any
 	var profiles, tenants []object
@@ -162,7 +167,7 @@
 	return text
 }
 
-// newPeerMessageCodec is what reads and writes messages between gateways.
+// newPeerMessageCodec returns a configuration that encodes and decodes peer messages.
 func newPeerMessageCodec(gatewayCount int) (*config.Instance, error) {
 	return config.Parse(settingsJSON(gatewayCount, defaultProfileCount, 0), 10*time.Second)
 }
--- a/tools/scale/main.go
+++ b/tools/scale/main.go
@@ -1,5 +1,5 @@
-// Command scale measures how the cost of the real code grows with the size of a fleet, and holds the pages on capacity against what was
-// measured.
+// Command scale measures how the cost of the gateway's code grows with the size of a fleet, and checks the capacity pages in docs against
+// the saved measurements.
 package main
 
 import (
@@ -14,16 +14,16 @@
 	"github.com/alecthomas/kong"
 )
 
-// cli is what the command is told.
+// cli holds the command line.
 type cli struct {
-	Slopes slopesCommand `cmd:"" help:"Measure costs by size on several points each, fit their growth and keep the results."`
-	Check  checkCommand  `cmd:"" help:"Hold the pages' figures against the last results kept and the target; ends with 1 where one says other than they do."`
+	Slopes slopesCommand `cmd:"" help:"Measure each cost at several sizes, fit its growth and save the results."`
+	Check  checkCommand  `cmd:"" help:"Check the figures of the pages against the latest saved results and the target; exits with 1 if any differs."`
 }
 
-const defaultOverrunTimeout = 5 * time.Second // for the one operation that is under way at the end of the time: the longest takes about a second
+const defaultOverrunTimeout = 5 * time.Second // for the operation in progress at the timeout; the longest takes about a second
 
-// errFailed is a run that came to its end and found something wrong.
-var errFailed = errors.New("not as it should be")
+// errFailed reports that a run completed and found something wrong, which exits with 1; any other error exits with 2.
+var errFailed = errors.New("problems found")
 
 func main() {
 	var c cli
@@ -39,7 +39,7 @@
 	}
 }
 
-// run reads the command line and does what it says.
+// run parses the command line and runs the command that it names.
 func (c *cli) run(ctx context.Context, args []string, out io.Writer) error {
 	parser, err := kong.New(c, kong.Name("scale"), kong.Description("Measures how costs grow with the size of a fleet."),
 		kong.BindTo(ctx, (*context.Context)(nil)), kong.BindTo(out, (*io.Writer)(nil)), kong.Writers(out, os.Stderr))
--- a/tools/scale/measures.go
+++ b/tools/scale/measures.go
@@ -10,14 +10,16 @@
 	"spanmux/logic"
 )
 
-// measure is one operation of the real code at several sizes. It gives a value for each unit: s is processor time, wall is time by the
-// clock on the wall, heap is bytes that stay in use, text is bytes on the wire, alloc and allocs are bytes and allocations.
+// measure is one operation of the gateway's code, measured at several sizes. run returns a value for each unit and the number of
+// repetitions. Units: s is CPU time, first and change are wall-clock times, heap is bytes that stay in use, text is bytes on the wire, alloc
+// is bytes allocated and allocs is the number of allocations.
 type measure struct {
 	name, sizeName, description, fixedSizes string
 	sizes                                   []int
 	run                                     func(m *meter, n int) (map[string]float64, int, error)
 }
 
+// Sizes at which the measures run.
 var (
 	hostCounts         = []int{100, 300, 1000, 3000, 10_000, 30_000, 100_000, 170_000}
 	decisionHostCounts = []int{12, 57, 200, 1000, 3000, 10_000}
@@ -26,7 +28,7 @@
 	changedHostCounts  = []int{1, 10, 100, 1000, 9400}
 )
 
-// measureCost runs an operation that is made for a size.
+// measureCost returns a measure of the time and the allocations of an operation that prepare sets up for a size.
 func measureCost(prepare func(n int) (before, op func())) func(*meter, int) (map[string]float64, int, error) {
 	return func(m *meter, n int) (map[string]float64, int, error) {
 		before, op := prepare(n)
@@ -35,14 +37,14 @@
 	}
 }
 
-// measureHeap is the memory of what is built.
+// measureHeap returns a measure of the memory that stays in use for what build returns for a size.
 func measureHeap(build func(n int) any) func(*meter, int) (map[string]float64, int, error) {
 	return func(_ *meter, n int) (map[string]float64, int, error) {
 		return map[string]float64{"heap": retainedHeapBytes(func() any { return build(n) })}, 1, nil
 	}
 }
 
-// measureFleet is what a fleet's gateways tell each other.
+// measureFleet returns a measure of the messages in a simulated fleet.
 func measureFleet(simulate func(ctx context.Context, n int) (map[string]float64, error)) func(*meter, int) (map[string]float64, int, error) {
 	return func(m *meter, n int) (map[string]float64, int, error) {
 		values, err := simulate(m.ctx, n)
@@ -50,7 +52,7 @@
 	}
 }
 
-// prepareHostToggle is a change of the first hosts: they drain, and are back with the next.
+// prepareHostToggle returns an operation that changes the first hosts: they drain with one call and are ready again with the next.
 func prepareHostToggle(g *simulatedGateway, hosts []logic.Host, changed int) (before, op func()) {
 	toggled := append([]logic.Host{}, hosts[:changed]...)
 	return nil, func() {
@@ -65,13 +67,13 @@
 	}
 }
 
-// preparePeriodicWork is the module's work of a second, some transactions having passed in it.
+// preparePeriodicWork returns an operation that does the decision core's periodic work of one second, after some transactions.
 func preparePeriodicWork(g *simulatedGateway) (before, op func()) {
 	traffic := &trafficGenerator{simulatedGateway: g, load: logic.NoLoadReport}
 	for range concurrentTransactions {
 		traffic.nextTransaction()
 	}
-	for range warmUpSeconds { // the one call for the list is among what falls due first
+	for range warmUpSeconds { // the request for the host list falls due within these
 		g.advanceToTimer()
 		g.TimerFired(g.now)
 	}
@@ -79,22 +81,24 @@
 }
 
 const (
-	warmUpSeconds          = 12                            // more than a gateway may go without asking for the list
-	transactionsPerReading = 64                            // transactions in one reading: 140 ms of the module's clock, under what it takes for standing still
-	warmUpTransactions     = 2 * peakTransactionsPerSecond // transactions before: times and paces are learnt
+	warmUpSeconds          = 12                            // more than the maximum interval between requests for the host list
+	transactionsPerReading = 64                            // 140 ms of the simulated clock, below the 200 ms at which the core takes the process for stalled
+	warmUpTransactions     = 2 * peakTransactionsPerSecond // run before the readings, so that latencies and relative speeds are learnt
 )
 
-// measureDecision is a transaction from its arrival to the end of its one hop.
+// measureDecision returns a measure of one transaction, from its arrival to the end of its only hop, by number of hosts.
 func measureDecision(sources logic.InformationSources, load logic.LoadReport) func(*meter, int) (map[string]float64, int, error) {
 	return func(m *meter, n int) (map[string]float64, int, error) {
 		return measureTransactions(m, newTargetGateway(sources, makeProfiles(defaultProfileCount), nil, makeHosts(n, targetFleet["zones"])), load)
 	}
 }
 
+// measureTransactions measures one transaction at a gateway whose hosts all send the same load report. It fails if more than a tenth of the
+// transactions are rolled back or abandoned, as that is not the usual path.
 func measureTransactions(m *meter, g *simulatedGateway, load logic.LoadReport) (map[string]float64, int, error) {
 	traffic := &trafficGenerator{simulatedGateway: g, load: load}
 	before := func() {
-		if traffic.timerDue > 0 && traffic.timerDue <= traffic.now { // its own second is not in the reading
+		if traffic.timerDue > 0 && traffic.timerDue <= traffic.now { // keeps the periodic work out of the reading
 			traffic.timerDue = 0
 			traffic.TimerFired(traffic.now)
 		}
@@ -113,22 +117,23 @@
 		}
 	})
 	if transactions := int(traffic.id - firstID); err == nil && traffic.unsuccessful > transactions/10 {
-		err = fmt.Errorf("%d of %d rolled back: the gateway gave up, so nothing was measured", traffic.unsuccessful, transactions)
+		err = fmt.Errorf("%d of %d transactions failed: the measurement is not valid", traffic.unsuccessful, transactions)
 	}
 	return map[string]float64{"s": c.seconds / transactionsPerReading, "allocs": c.allocations / transactionsPerReading, "alloc": c.bytes / transactionsPerReading}, c.readings, err
 }
 
-// answered is what a host says in its answers, by shape.
+// Load reports of hosts that report requests in flight, and of hosts that report their queue.
 var (
 	inFlightReport = logic.LoadReport{InFlight: 2, Queued: -1, Utilization: 0.2, RequestsPerSecond: -1, LatencyMs: -1}
 	queueReport    = logic.LoadReport{InFlight: -1, Queued: 0, Utilization: 0.2, RequestsPerSecond: 12, LatencyMs: 20}
 )
 
+// noBootAge converts every boot time to an age of zero.
 func noBootAge(int64) time.Duration { return 0 }
 
-// parseHostListText reads a list and makes what the module takes of it.
+// parseHostListText returns an operation that parses a host list and converts it for the decision core.
 func parseHostListText(text []byte) func() {
-	var hosts []logic.Host // outlives a call, so that the compiler can't leave out the reading
+	var hosts []logic.Host // outlives the call, so that the compiler can't remove the parsing
 	return func() {
 		list, err := protocol.ParseHostList(text)
 		if err != nil {
@@ -141,13 +146,14 @@
 	}
 }
 
+// Sizes that stay the same while another one varies, as the results describe them.
 const (
 	fixedFleet                   = "4 profiles, 18 zones, 4,400 gateways"
 	fixedService                 = "57 hosts, 18 zones, 4,400 gateways"
-	defaultTransactionsPerSecond = 20 // transactions a second and gateway where that is not what varies
+	defaultTransactionsPerSecond = 20 // per gateway, where the rate is not what varies
 )
 
-// measures are all of them, in the order of the page.
+// measures returns all measures, in the order of docs/CAPACITY.md.
 func measures() []measure {
 	gatewayCount := targetFleet["gateways"]
 	defaultProfiles := makeProfiles(defaultProfileCount)
@@ -272,7 +278,7 @@
 			measureFleet(func(ctx context.Context, n int) (map[string]float64, error) {
 				return measurePeerMessages(ctx, 48, 360, n, defaultTransactionsPerSecond)
 			})},
-		// Last, as its gateways go on asking for the list until the process ends.
+		// Last, because its gateways keep requesting the host list until the process ends.
 		{"desk", "hosts", "the gateway up to its sockets: first, until a known list is in hand; change, from one host's change told to the next call for the list, wall time both; heap, its memory with the list",
 			fixedFleet, hostCounts, func(m *meter, n int) (map[string]float64, int, error) {
 				values, err := measureDispatcher(m.ctx, n)
@@ -281,7 +287,7 @@
 	}
 }
 
-// reconfigure gives the module other profiles and tenants and leaves all else.
+// reconfigure passes profiles and tenants to the decision core and leaves the other settings as they are.
 func reconfigure(g *simulatedGateway, profiles []logic.Profile, tenants []logic.Tenant) {
 	g.Reconfigure(g.now, profiles, tenants, logic.ColdHostRule{InitialCapacityFraction: 0.25, WarmUpDuration: 8 * time.Second, OverloadMultiple: 4, OverloadDuration: time.Second}, logic.DrainRule{},
 		logic.HopRule{MaxHops: 3, MaxRetryAfter: time.Second}, inFlightSources, logic.CostModel{CrossZoneHop: 0.05})
--- a/tools/scale/meter.go
+++ b/tools/scale/meter.go
@@ -10,29 +10,29 @@
 )
 
 const (
-	minBatchCPUTime      = 2 * time.Millisecond   // of processor time for one reading: far over the clock's own cost
+	minBatchCPUTime      = 2 * time.Millisecond   // CPU time of one reading; far above the cost of reading the clock
 	maxBatchOperations   = 4096                   // operations in one reading
-	minReadings          = 3                      // readings of which the least counts
-	maxReadings          = 15                     // ditto: more hardly lower it
-	maxCountedOperations = 6                      // operations whose allocations are counted; one where it takes long
-	readingsDuration     = 350 * time.Millisecond // for the readings of one point, the first ones aside
+	minReadings          = 3                      // the lowest reading counts
+	maxReadings          = 15                     // more readings hardly lower the minimum
+	maxCountedOperations = 6                      // operations whose allocations are counted; slow operations are counted once
+	readingsDuration     = 350 * time.Millisecond // time for the readings of one size, without those that find the batch size
 )
 
-// operationCost is what one operation takes.
+// operationCost is the measured cost of one operation.
 type operationCost struct {
-	seconds     float64 // processor time of the thread that does it, the least of all readings; the collector's other threads are not in it
-	allocations float64 // allocations, the mean
-	bytes       float64 // bytes allocated, the mean
+	seconds     float64 // CPU time of the thread that runs it, the lowest of all readings; the collector's other threads are not included
+	allocations float64 // number of allocations: the mean, or the lowest if the meter only counts
+	bytes       float64 // bytes allocated, likewise
 	readings    int
 }
 
-// meter takes readings until its context is over.
+// meter measures operations until its context is done.
 type meter struct {
 	ctx        context.Context
-	countsOnly bool // allocations only, which are the same each time: times are left out
+	countsOnly bool // only count allocations, which are repeatable, and measure no times
 }
 
-// threadCPUTime is the processor time that this thread has used.
+// threadCPUTime returns the CPU time that the calling thread has used.
 func threadCPUTime() time.Duration {
 	var clock unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &clock) != nil {
@@ -41,7 +41,7 @@
 	return time.Duration(clock.Nano())
 }
 
-// measure repeats an operation. before, where there is one, comes before each and is not counted.
+// measure repeats an operation and returns its cost. before, if not nil, runs before each operation and is not included.
 func (m *meter) measure(before, op func()) (c operationCost, err error) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -56,7 +56,7 @@
 		}
 		return spent
 	}
-	if before == nil { // one reading for all
+	if before == nil { // reads the clock once for the whole batch
 		measureTime = func(n int) time.Duration {
 			start := threadCPUTime()
 			for range n {
@@ -66,13 +66,13 @@
 		}
 	}
 	if m.countsOnly {
-		measureTime(1) // what the first leaves behind for the next does not count
+		measureTime(1) // first-use allocations are not counted
 		c.seconds, c.readings = 1, 1
 		c.countAllocations(before, op, true)
 		return c, m.ctx.Err()
 	}
 	n := 1
-	for n < maxBatchOperations && measureTime(n) < minBatchCPUTime { // the first finds nothing in any cache, and does not count
+	for n < maxBatchOperations && measureTime(n) < minBatchCPUTime { // these readings run with cold caches and are not counted
 		n *= 2
 	}
 	c.seconds = math.Inf(1)
@@ -89,8 +89,8 @@
 	return c, nil
 }
 
-// countAllocations takes the allocations of some operations, of one where it takes long: the mean; the least where only these are asked for, as
-// whatever else the process does may come into one of them.
+// countAllocations runs the operation several times, or once if it is slow, and records the mean of its allocations. With useLeast it records
+// the lowest count instead, as other goroutines may allocate during one of the runs.
 func (c *operationCost) countAllocations(before, op func(), useLeast bool) {
 	operations := maxCountedOperations
 	if c.seconds > readingsDuration.Seconds()/10 && !useLeast {
@@ -111,7 +111,7 @@
 	}
 }
 
-// allocationsOf are the allocations of one operation, and their bytes.
+// allocationsOf runs the operation and returns the number of allocations and of bytes allocated.
 func allocationsOf(op func()) (allocations, bytes float64) {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
@@ -120,11 +120,11 @@
 	return float64(after.Mallocs - before.Mallocs), float64(after.TotalAlloc - before.TotalAlloc)
 }
 
-// retainedHeapBytes is the bytes that stay in use for what is built.
+// retainedHeapBytes returns how much the live heap grows by what build returns.
 func retainedHeapBytes(build func() any) float64 {
 	liveBytes := func() uint64 {
 		runtime.GC()
-		runtime.GC() // what the first has freed the second has swept
+		runtime.GC() // the second collection sweeps what the first has freed
 		var stats runtime.MemStats
 		runtime.ReadMemStats(&stats)
 		return stats.HeapAlloc
--- a/tools/scale/norace_test.go
+++ b/tools/scale/norace_test.go
@@ -2,5 +2,5 @@
 
 package main
 
-// raceDetectorEnabled tells whether this is the race detector's build.
+// raceDetectorEnabled reports whether the race detector is compiled in.
 const raceDetectorEnabled = false
--- a/tools/scale/results.go
+++ b/tools/scale/results.go
@@ -10,28 +10,29 @@
 	"strconv"
 )
 
-// series is one cost by one size. Its key is its name with its unit, such as list-one/s.
+// series is one cost by one size. Key is the measure's name with the unit, such as list-one/s.
 type series struct {
 	Key         string  `json:"key"`
 	Description string  `json:"what"`
 	SizeName    string  `json:"by"`
-	FixedSizes  string  `json:"fixed"` // all other sizes
+	FixedSizes  string  `json:"fixed"` // the other sizes, which don't vary
 	Points      []point `json:"points"`
 	Fit         fit     `json:"fit"`
 }
 
-// results are one run of all measures.
+// results holds one run of the measures.
 type results struct {
 	CreatedAt    string    `json:"made"` // UTC
 	Go           string    `json:"go"`
 	Arch         string    `json:"arch"`
 	Procs        int       `json:"procs"` // GOMAXPROCS
-	MaxSize      int       `json:"most"`  // the largest size measured
-	TimingMethod string    `json:"times"` // how times were taken
+	MaxSize      int       `json:"most"`  // largest size measured
+	TimingMethod string    `json:"times"` // how times were measured
 	Series       []*series `json:"series"`
-	Missing      []string  `json:"missing,omitempty"` // what could not be measured in the time
+	Missing      []string  `json:"missing,omitempty"` // what was not measured before the timeout
 }
 
+// findSeries returns the series with a key, or nil.
 func (r *results) findSeries(key string) *series {
 	if i := slices.IndexFunc(r.Series, func(s *series) bool { return s.Key == key }); i >= 0 {
 		return r.Series[i]
@@ -39,9 +40,9 @@
 	return nil
 }
 
-const resultsFilePrefix = "slopes-" // begins the names of files with results; the time of the run follows, so that they sort by it
+const resultsFilePrefix = "slopes-" // begins the names of results files; the time of the run follows, so that they sort by it
 
-// save writes the results as JSON and CSV and draws their chart, and names the JSON file.
+// save writes the results as JSON, CSV and an SVG chart, and returns the path of the JSON file.
 func (r *results) save(folder, stamp string) (string, error) {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return "", err
@@ -70,10 +71,10 @@
 	if err := r.drawChart(base + ".svg"); err != nil {
 		return "", err
 	}
-	return base + ".json", writeAtomically(base+".json", append(text, '\n')) // last: where it is, all are
+	return base + ".json", writeAtomically(base+".json", append(text, '\n')) // written last, so that where it exists the other files do too
 }
 
-// writeAtomically writes a file whole or not at all.
+// writeAtomically writes a file by renaming a temporary one, so that readers never see a part of it.
 func writeAtomically(path string, text []byte) error {
 	temporary := path + ".new"
 	if err := os.WriteFile(temporary, text, 0o644); err != nil {
@@ -82,7 +83,7 @@
 	return os.Rename(temporary, path)
 }
 
-// loadLatest reads the last results kept in a folder.
+// loadLatest reads the latest results saved in a folder.
 func loadLatest(folder string) (r *results, path string, err error) {
 	paths, err := filepath.Glob(filepath.Join(folder, resultsFilePrefix+"*.json"))
 	if err != nil {
--- a/tools/scale/scale_test.go
+++ b/tools/scale/scale_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// powerLawPoints are points of value = 3 * size^by, times what is told of some.
+// powerLawPoints returns points of value = 3 * size^exponent, multiplied by a factor at some sizes.
 func powerLawPoints(exponent float64, factors map[int]float64, sizes ...int) (points []point) {
 	for _, n := range sizes {
 		factor := factors[n]
@@ -24,7 +24,8 @@
 	return points
 }
 
-// A power law is found again; a point off it by more than a quarter, or a bend, is said, with where; what has no growth is no fit.
+// The fit finds a power law again, and reports a point that deviates by more than a quarter, or a bend, with its size. Fewer than two points
+// above zero can't be fitted.
 func Example_fitted() {
 	show := func(points []point) {
 		f, err := fitPowerLaw(points)
@@ -51,7 +52,7 @@
 	// 0 points above zero: no growth can be fitted
 }
 
-// Inside what was measured a forecast goes by the points beside it, beyond by the growth at the large end.
+// Within the measured sizes a forecast interpolates between the neighbouring points; beyond them it follows the growth at the large end.
 func Example_forecast() {
 	s := &series{Points: append(powerLawPoints(0, nil, 10, 100), powerLawPoints(2, nil, 1000, 10_000, 100_000)...)}
 	s.Fit, _ = fitPowerLaw(s.Points)
@@ -67,7 +68,7 @@
 	// 1000000: 3e+12, measured false
 }
 
-// fakeMeasures are measures whose values are known.
+// fakeMeasures returns measures with known values.
 func fakeMeasures() []measure {
 	return []measure{{"twice", "hosts", "", "", []int{1, 10, 100}, func(_ *meter, n int) (map[string]float64, int, error) {
 		return map[string]float64{"s": 2e-6 * float64(n), "heap": 100 * float64(n)}, 3, nil
@@ -76,7 +77,7 @@
 	}}}
 }
 
-// runSlopes runs the command and tells how it ended.
+// runSlopes runs the command and returns its output and error.
 func runSlopes(t *testing.T, s *slopesCommand) (string, error) {
 	t.Helper()
 	var out strings.Builder
@@ -84,7 +85,7 @@
 	return out.String(), err
 }
 
-// What is measured is told as it goes, and kept as JSON that reads back, as CSV and as a chart.
+// Progress is printed, and the results are saved as JSON that can be read back, as CSV and as a chart.
 func TestSavesResults(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "results")
 	out, err := runSlopes(t, &slopesCommand{Timeout: time.Minute, OutputFolder: folder, Procs: 1, measures: fakeMeasures})
@@ -108,7 +109,7 @@
 	}
 }
 
-// It ends when its time is over: what was not measured is named, and one operation that doesn't end does not hold it.
+// The command ends at its timeout and lists what was not measured; an operation that never returns doesn't keep it from ending.
 func TestEndsAtTimeout(t *testing.T) {
 	waitForTimeout := func(m *meter, _ int) (map[string]float64, int, error) {
 		<-m.ctx.Done()
@@ -134,7 +135,7 @@
 	}
 }
 
-// What makes no sense is turned down with what is wrong; nothing is measured.
+// Invalid command lines are rejected with the reason, and nothing is measured.
 func Example_rejectedCommandLines() {
 	for _, line := range []string{"slopes --within 0s", "slopes --procs 0", "slopes --most=-1", "slopes --only nothing", "slopes --within soon", "measure",
 		"check --results nowhere", "check --page nowhere.md --results ../../lab/results"} {
@@ -144,17 +145,17 @@
 		fmt.Printf("%s: %v%s\n", line, err, strings.TrimSpace(out.String()))
 	}
 	// Output:
-	// slopes --within 0s: --within 0s, --procs 2, --most 0: more than nothing is needed
-	// slopes --procs 0: --within 2m0s, --procs 0, --most 0: more than nothing is needed
-	// slopes --most=-1: --within 2m0s, --procs 2, --most -1: more than nothing is needed
-	// slopes --only nothing: nothing is called nothing
+	// slopes --within 0s: --within 0s, --procs 2, --most 0: --within has to be positive, --procs at least 1 and --most not negative
+	// slopes --procs 0: --within 2m0s, --procs 0, --most 0: --within has to be positive, --procs at least 1 and --most not negative
+	// slopes --most=-1: --within 2m0s, --procs 2, --most -1: --within has to be positive, --procs at least 1 and --most not negative
+	// slopes --only nothing: no measure has a name that begins with nothing
 	// slopes --within soon: --within: expected duration but got "soon": time: invalid duration "soon"
 	// measure: unexpected argument measure
 	// check --results nowhere: no results in nowhere: run slopes first
 	// check --page nowhere.md --results ../../lab/results: open nowhere.md: no such file or directory
 }
 
-// Each measure works at its smallest size, the gateway up to its sockets included.
+// Each measure works at its smallest size, including the one of the gateway with its sockets.
 func TestMeasures(t *testing.T) {
 	for _, m := range measures() {
 		values, _, err := m.run(&meter{ctx: context.Background(), countsOnly: true}, m.sizes[0])
--- a/tools/scale/slopes.go
+++ b/tools/scale/slopes.go
@@ -14,31 +14,31 @@
 	"time"
 )
 
-// slopesCommand is the command that measures.
+// slopesCommand runs the measures at several sizes each, prints the growth of each cost and saves the results.
 type slopesCommand struct {
-	Timeout      time.Duration `name:"within" default:"2m" help:"Time in which it ends; what was not measured by then is named, and the exit is 1."`
-	MaxSize      int           `name:"most" default:"0" help:"Leave out sizes over this, 0 for none."`
-	OutputFolder string        `name:"out" default:"lab/results" help:"Folder for the results; empty to keep none."`
-	OnlyMeasures []string      `name:"only" help:"Measure these only, by the beginnings of their names; nothing is kept."`
-	Procs        int           `default:"2" help:"Cores to use at the most."`
+	Timeout      time.Duration `name:"within" default:"2m" help:"Time limit; what was not measured by then is listed, and the exit code is 1."`
+	MaxSize      int           `name:"most" default:"0" help:"Skip sizes above this; 0 for no limit."`
+	OutputFolder string        `name:"out" default:"lab/results" help:"Folder for the results; empty to save none."`
+	OnlyMeasures []string      `name:"only" help:"Run only the measures whose names begin with these; saves nothing."`
+	Procs        int           `default:"2" help:"Maximum number of cores to use."`
 
-	measures       func() []measure // stand-ins in tests; all of them where nil
-	overrunTimeout time.Duration    // after the time, for what is under way; afterEnd where 0
+	measures       func() []measure // replaces the list of measures in tests; nil means all
+	overrunTimeout time.Duration    // time after the timeout for the operation in progress; 0 means defaultOverrunTimeout
 }
 
-// timingMethod says how times are taken; results hold it.
+// timingMethod describes how times are measured; it is stored in the results.
 const timingMethod = "processor time of the one thread that does the work, the least of at least 3 readings of 2 ms or one operation; the collector's other threads are not in it. desk: wall time, the least of 6 changes; its first list: one reading"
 
-// unitOrder is the order of units of one measure.
+// unitOrder is the order in which the units of a measure are listed.
 var unitOrder = []string{"s", "first", "change", "allocs", "alloc", "heap", "text"}
 
-// Run measures, prints and keeps.
+// Run measures, prints the growth of each series and saves the results.
 func (c *slopesCommand) Run(ctx context.Context, out io.Writer) error {
 	if c.Timeout <= 0 || c.Procs < 1 || c.MaxSize < 0 {
-		return fmt.Errorf("--within %v, --procs %d, --most %d: more than nothing is needed", c.Timeout, c.Procs, c.MaxSize)
+		return fmt.Errorf("--within %v, --procs %d, --most %d: --within has to be positive, --procs at least 1 and --most not negative", c.Timeout, c.Procs, c.MaxSize)
 	}
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(c.Procs))
-	defer debug.SetGCPercent(debug.SetGCPercent(400)) // the gateway's own
+	defer debug.SetGCPercent(debug.SetGCPercent(400)) // as in the gateway
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
 	type outcome struct {
@@ -57,7 +57,7 @@
 			fmt.Fprintln(out, line)
 		case finished = <-done:
 		case <-overrun:
-			return fmt.Errorf("one operation did not end within %v after the time was over", cmp.Or(c.overrunTimeout, defaultOverrunTimeout))
+			return fmt.Errorf("one operation did not end within %v after the timeout", cmp.Or(c.overrunTimeout, defaultOverrunTimeout))
 		}
 	}
 	if finished.err != nil {
@@ -78,14 +78,14 @@
 	return nil
 }
 
-// closeAfterDone is closed some time after a context is over.
+// closeAfterDone returns a channel that is closed some time after the context is done.
 func closeAfterDone(ctx context.Context, delay time.Duration) <-chan struct{} {
 	closed := make(chan struct{})
 	context.AfterFunc(ctx, func() { time.AfterFunc(delay, func() { close(closed) }) })
 	return closed
 }
 
-// measureAll runs all that is asked for, as far as the time allows.
+// measureAll runs the chosen measures. Sizes that it does not reach before the context ends are listed in Missing.
 func (c *slopesCommand) measureAll(ctx context.Context, progress chan<- string) (*results, error) {
 	r := &results{CreatedAt: time.Now().UTC().Format(time.RFC3339), Go: runtime.Version(), Arch: runtime.GOOS + "/" + runtime.GOARCH, Procs: c.Procs, TimingMethod: timingMethod}
 	listMeasures := measures
@@ -99,13 +99,13 @@
 		}
 	}
 	if len(chosen) == 0 {
-		return nil, fmt.Errorf("nothing is called %s", strings.Join(c.OnlyMeasures, " or "))
+		return nil, fmt.Errorf("no measure has a name that begins with %s", strings.Join(c.OnlyMeasures, " or "))
 	}
 	start := time.Now()
 	for i, m := range chosen {
 		select {
 		case progress <- fmt.Sprintf("%2d/%d %4.0f s  %s by %s ...", i+1, len(chosen), time.Since(start).Seconds(), m.name, m.sizeName):
-		case <-ctx.Done(): // what is left is named at the end
+		case <-ctx.Done(): // the remaining sizes are listed in Missing
 		}
 		seriesByKey := map[string]*series{}
 		for _, size := range m.sizes {
@@ -136,7 +136,7 @@
 		for _, key := range slices.SortedFunc(maps.Keys(seriesByKey), compareByUnit) {
 			s := seriesByKey[key]
 			var err error
-			if s.Fit, err = fitPowerLaw(s.Points); err == nil { // one that is nought throughout has no growth
+			if s.Fit, err = fitPowerLaw(s.Points); err == nil { // a series of zeros has no growth to fit
 				r.Series = append(r.Series, s)
 			} else if len(s.Points) < 2 {
 				r.Missing = append(r.Missing, fmt.Sprintf("growth of %s: %v", key, err))
@@ -146,6 +146,7 @@
 	return r, nil
 }
 
+// compareByUnit orders the keys of series by unitOrder, then by name.
 func compareByUnit(a, b string) int {
 	unitRank := func(key string) int {
 		_, unit, _ := strings.Cut(key, "/")
@@ -160,7 +161,7 @@
 	return strings.Compare(a, b)
 }
 
-// growthTable is the growth of each series, as text that is Markdown too.
+// growthTable returns the growth of each series as a Markdown table.
 func (r *results) growthTable() string {
 	var s strings.Builder
 	s.WriteString("| series | by | exponent | at the large end | for each more there | at the largest | verdict |\n| --- | --- | --- | --- | --- | --- | --- |\n")
@@ -173,7 +174,7 @@
 	return s.String()
 }
 
-// formatAmount prints a value in the unit of a series, to two digits.
+// formatAmount formats a value in the unit of a series, to three significant digits and with a unit prefix.
 func formatAmount(v float64, unit string) string {
 	type unitScale struct {
 		factor float64
--- a/tools/scale/target.go
+++ b/tools/scale/target.go
@@ -1,28 +1,28 @@
 package main
 
-// targetFleet is the fleet that the operators aim at. The page's table says the same; check compares them.
+// targetFleet is the fleet size that the project is designed for. docs/CAPACITY.md lists the same sizes, and check compares the two.
 var targetFleet = map[string]int{
 	"gateways":    4400,
 	"hosts":       170_000,
 	"services":    3000,
-	"rate":        2_000_000, // transactions a second at the peak
+	"rate":        2_000_000, // peak transactions per second
 	"routes":      56_000,
 	"tenants":     430_000,
 	"regions":     5,
 	"zones":       18,
-	"changes":     91_000, // of configuration a day
-	"failures":    180,    // of machines a day
-	"restarts":    23_000, // of hosts, or their replacements, a day
-	"control":     35,     // machines
-	"controldead": 5,      // of these, in the worst minute
+	"changes":     91_000, // configuration changes a day
+	"failures":    180,    // machine failures a day
+	"restarts":    23_000, // host restarts or replacements a day
+	"control":     35,     // machines of the control plane
+	"controldead": 5,      // of these, those that are down in the worst minute
 }
 
-// targetBudgets are what a gateway may spend for control, the time in which a change is in force and what may be added to a transaction;
-// seconds, bytes.
+// targetBudgets are the limits of what a gateway spends on control work, of the time until a change is in force, and of the latency added
+// to a transaction.
 var targetBudgets = map[string]float64{
-	"core":    0.017,  // seconds of a core a second
+	"core":    0.017,  // CPU seconds per second
 	"memory":  256e6,  // bytes
-	"network": 6000,   // bytes a second
+	"network": 6000,   // bytes per second
 	"inforce": 4,      // seconds
-	"added":   0.0025, // seconds, to 99 in 100 transactions
+	"added":   0.0025, // seconds, at the 99th percentile of transactions
 }
