--- a/tools/scale/norace_test.go
+++ b/tools/scale/norace_test.go
@@ -2,5 +2,5 @@
 
 package main
 
-// race tells whether this is the race detector's build.
-const race = false
+// raceDetectorEnabled reports whether the race detector is compiled in.
+const raceDetectorEnabled = false
--- a/tools/scale/race_test.go
+++ b/tools/scale/race_test.go
@@ -2,5 +2,5 @@
 
 package main
 
-// race tells whether this is the race detector's build.
-const race = true
+// raceDetectorEnabled reports whether the race detector is compiled in.
+const raceDetectorEnabled = true
