--- a/logic/retry_test.go
+++ b/logic/retry_test.go
@@ -8,97 +8,97 @@
 	"spanmux/logic"
 )
 
-// retrier counts what a gateway sends beyond each transaction's first hop, and when.
-type retrier struct {
-	*scene
-	taken   []time.Duration
-	further []time.Duration
-	of      map[int]int // further hops by profile
-	profile map[logic.TxID]int
-	hops    map[logic.TxID]int
-	queue   []logic.TxID
+// retryGateway counts what a gateway sends beyond each transaction's first hop, and when.
+type retryGateway struct {
+	*testGateway
+	receivedAt       []time.Duration
+	retriedAt        []time.Duration
+	retriesByProfile map[int]int // further hops by profile
+	profileByTx      map[logic.TxID]int
+	hopsByTx         map[logic.TxID]int
+	pendingHops      []logic.TxID
 }
 
-func (r *retrier) SendHop(id logic.TxID, to logic.HostID, wait time.Duration) {
-	if r.hops[id]++; r.hops[id] > 1 {
-		r.further = append(r.further, r.now)
-		r.of[r.profile[id]]++
+func (gw *retryGateway) SendHop(id logic.TxID, host logic.HostID, timeout time.Duration) {
+	if gw.hopsByTx[id]++; gw.hopsByTx[id] > 1 {
+		gw.retriedAt = append(gw.retriedAt, gw.now)
+		gw.retriesByProfile[gw.profileByTx[id]]++
 	}
-	r.queue = append(r.queue, id)
+	gw.pendingHops = append(gw.pendingHops, id)
 }
 
-// startRetrier begins a gateway with six hosts; every hop there ends as it is told.
-func startRetrier(gateways int, budget logic.RetryBudget) *retrier {
-	r := &retrier{scene: &scene{now: time.Second, hopsTo: map[logic.HostID]int{}, quiet: true}, of: map[int]int{},
-		profile: map[logic.TxID]int{}, hops: map[logic.TxID]int{}}
-	r.Balancer = logic.New(r, r.now, 11, logic.Topology{GatewayCount: gateways, Zone: "a", Zones: []string{"a"}},
-		[]logic.Profile{read, payment}, nil, logic.ColdHostRule{InitialCapacityFraction: 0.25, WarmUpDuration: 8 * time.Second, OverloadMultiple: 4, OverloadDuration: time.Second},
+// startRetryGateway begins a gateway with six hosts; every hop there ends as it is told.
+func startRetryGateway(gatewayCount int, budget logic.RetryBudget) *retryGateway {
+	gw := &retryGateway{testGateway: &testGateway{now: time.Second, hopsByHost: map[logic.HostID]int{}, quiet: true}, retriesByProfile: map[int]int{},
+		profileByTx: map[logic.TxID]int{}, hopsByTx: map[logic.TxID]int{}}
+	gw.Balancer = logic.New(gw, gw.now, 11, logic.Topology{GatewayCount: gatewayCount, Zone: "a", Zones: []string{"a"}},
+		[]logic.Profile{readProfile, paymentProfile}, nil, logic.ColdHostRule{InitialCapacityFraction: 0.25, WarmUpDuration: 8 * time.Second, OverloadMultiple: 4, OverloadDuration: time.Second},
 		logic.DrainRule{}, logic.HopRule{MaxHops: 5, MaxRetryAfter: time.Second, RetryBudget: budget}, logic.InformationSources{MaxListPollInterval: 10 * time.Second},
 		logic.CostModel{})
 	hosts := []logic.Host{}
 	for id := range 6 {
-		hosts = append(hosts, host(logic.HostID(id+1), "a", 1))
+		hosts = append(hosts, readyHost(logic.HostID(id+1), "a", 1))
 	}
-	r.HostListReceived(r.now, logic.ListCached, hosts)
-	return r
+	gw.HostListReceived(gw.now, logic.ListCached, hosts)
+	return gw
 }
 
-// play takes transactions of a profile one after the other; each of their hops ends so.
-func (r *retrier) play(n, profile int, each time.Duration, end logic.HopOutcome) {
-	for range n {
-		id := logic.TxID(len(r.taken) + 1)
-		r.taken, r.profile[id] = append(r.taken, r.now), profile
-		r.TransactionReceived(r.now, id, logic.Arrival{ProfileIndex: profile, TenantIndex: -1, Budget: time.Second})
-		for len(r.queue) > 0 {
-			at := r.queue[0]
-			r.queue = r.queue[1:]
-			r.HopEnded(r.now, at, r.hops[at]-1, logic.HopResult{Outcome: end, Latency: ms, Load: logic.NoLoadReport}, end == logic.HopCommitted)
+// run takes transactions of a profile one after the other; each of their hops ends so.
+func (gw *retryGateway) run(count, profile int, interval time.Duration, outcome logic.HopOutcome) {
+	for range count {
+		id := logic.TxID(len(gw.receivedAt) + 1)
+		gw.receivedAt, gw.profileByTx[id] = append(gw.receivedAt, gw.now), profile
+		gw.TransactionReceived(gw.now, id, logic.Arrival{ProfileIndex: profile, TenantIndex: -1, Budget: time.Second})
+		for len(gw.pendingHops) > 0 {
+			pending := gw.pendingHops[0]
+			gw.pendingHops = gw.pendingHops[1:]
+			gw.HopEnded(gw.now, pending, gw.hopsByTx[pending]-1, logic.HopResult{Outcome: outcome, Latency: ms, Load: logic.NoLoadReport}, outcome == logic.HopCommitted)
 		}
-		r.wait(each)
+		gw.advance(interval)
 	}
 }
 
-// worst is by how much the further hops of any window went over what the rule allows at its last one.
-func (r *retrier) worst(rule logic.RetryBudget) (over float64) {
-	for i, last := range r.further {
-		hops, taken := 0.0, 0.0
-		for _, at := range r.further[:i+1] {
-			if at > last-rule.Window {
-				hops++
+// maxExcess is by how much the further hops of any window went over what the rule allows at its last one.
+func (gw *retryGateway) maxExcess(budget logic.RetryBudget) (excess float64) {
+	for i, windowEnd := range gw.retriedAt {
+		retries, received := 0.0, 0.0
+		for _, at := range gw.retriedAt[:i+1] {
+			if at > windowEnd-budget.Window {
+				retries++
 			}
 		}
-		for _, at := range r.taken {
-			if at > last-rule.Window && at <= last {
-				taken++
+		for _, at := range gw.receivedAt {
+			if at > windowEnd-budget.Window && at <= windowEnd {
+				received++
 			}
 		}
-		over = max(over, hops-rule.BaseRetries-rule.RetriesPerTransaction*taken)
+		excess = max(excess, retries-budget.BaseRetries-budget.RetriesPerTransaction*received)
 	}
-	return over
+	return excess
 }
 
 // A host that takes no connection, or an answer that is an error, sent each transaction on to up to four more hosts: 17 further hops
 // within 5 s where 137 transactions taken allow 16.9 (accra-matdb, rough-2, broken at 18.52 s). Every window of the span has to hold,
 // after a busy time that ends, at the start, and through a change of traffic.
 func TestRetryBudget(t *testing.T) {
-	for _, rule := range []logic.RetryBudget{
+	for _, budget := range []logic.RetryBudget{
 		{BaseRetries: 10, RetriesPerTransaction: 0.05, Window: 5 * time.Second}, {BaseRetries: 0, RetriesPerTransaction: 0.5, Window: time.Second},
 		{BaseRetries: 3, RetriesPerTransaction: 0, Window: 700 * ms}, {BaseRetries: 0, RetriesPerTransaction: 0, Window: time.Second},
 	} {
-		for _, gateways := range []int{3, 300} {
-			for _, end := range []logic.HopOutcome{logic.HopNoConnection, logic.HopError, logic.HopHostFull} {
-				r := startRetrier(gateways, rule)
+		for _, gatewayCount := range []int{3, 300} {
+			for _, outcome := range []logic.HopOutcome{logic.HopNoConnection, logic.HopError, logic.HopHostFull} {
+				gw := startRetryGateway(gatewayCount, budget)
 				for range 5 {
-					r.play(200, 0, 8*ms, end)
-					r.play(300, 1, 3*ms, logic.HopCommitted)
-					r.wait(900 * ms)
-					r.play(20, 1, 200*ms, end)
+					gw.run(200, 0, 8*ms, outcome)
+					gw.run(300, 1, 3*ms, logic.HopCommitted)
+					gw.advance(900 * ms)
+					gw.run(20, 1, 200*ms, outcome)
 				}
-				if over := r.worst(rule); over > 0 {
-					t.Errorf("%+v, %d gateways, hops end %d: %.1f over the budget in some window", rule, gateways, end, over)
+				if excess := gw.maxExcess(budget); excess > 0 {
+					t.Errorf("%+v, %d gateways, hops end %d: %.1f over the budget in some window", budget, gatewayCount, outcome, excess)
 				}
-				if allowed := rule.BaseRetries + rule.RetriesPerTransaction*100; end == logic.HopNoConnection && gateways == 3 && float64(len(r.further)) < allowed {
-					t.Errorf("%+v: %d further hops in all: a budget is there to be used", rule, len(r.further))
+				if minRetries := budget.BaseRetries + budget.RetriesPerTransaction*100; outcome == logic.HopNoConnection && gatewayCount == 3 && float64(len(gw.retriedAt)) < minRetries {
+					t.Errorf("%+v: %d further hops in all: a budget is there to be used", budget, len(gw.retriedAt))
 				}
 			}
 		}
@@ -106,24 +106,24 @@
 }
 
 // Where nothing is stated few gateways send on as before: the budget must not act at other deployments.
-func TestRetryBudgetNotStated(t *testing.T) {
-	r := startRetrier(3, logic.RetryBudget{})
-	r.play(20, 0, 50*ms, logic.HopNoConnection)
-	if len(r.further) < 40 {
-		t.Errorf("%d further hops of 20 transactions that met no connection", len(r.further))
+func TestRetriesWithoutConfiguredBudget(t *testing.T) {
+	gw := startRetryGateway(3, logic.RetryBudget{})
+	gw.run(20, 0, 50*ms, logic.HopNoConnection)
+	if len(gw.retriedAt) < 40 {
+		t.Errorf("%d further hops of 20 transactions that met no connection", len(gw.retriedAt))
 	}
 }
 
 // House term: no profile uses up what another needs seconds later. Reads that find no connection anywhere leave payments their part.
-func Example_retryBudgetKept() {
-	r := startRetrier(3, logic.RetryBudget{BaseRetries: 10, RetriesPerTransaction: 0.1, Window: 5 * time.Second})
-	r.play(20, 0, 10*ms, logic.HopCommitted)
-	r.play(20, 1, 10*ms, logic.HopCommitted)
-	r.play(60, 0, 10*ms, logic.HopNoConnection)
-	fmt.Println("further hops of reads, and of payments:", r.of[0], r.of[1])
-	r.wait(2 * time.Second)
-	r.play(3, 1, 10*ms, logic.HopNoConnection)
-	fmt.Println("further hops of reads, and of payments:", r.of[0], r.of[1])
+func Example_retryBudgetReservedByProfile() {
+	gw := startRetryGateway(3, logic.RetryBudget{BaseRetries: 10, RetriesPerTransaction: 0.1, Window: 5 * time.Second})
+	gw.run(20, 0, 10*ms, logic.HopCommitted)
+	gw.run(20, 1, 10*ms, logic.HopCommitted)
+	gw.run(60, 0, 10*ms, logic.HopNoConnection)
+	fmt.Println("further hops of reads, and of payments:", gw.retriesByProfile[0], gw.retriesByProfile[1])
+	gw.advance(2 * time.Second)
+	gw.run(3, 1, 10*ms, logic.HopNoConnection)
+	fmt.Println("further hops of reads, and of payments:", gw.retriesByProfile[0], gw.retriesByProfile[1])
 	// Output:
 	// further hops of reads, and of payments: 18 0
 	// further hops of reads, and of payments: 18 2
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -8,88 +8,88 @@
 	"spanmux/logic"
 )
 
-// judge plays a gateway's world by chance and holds the gateway to what must never happen, whatever comes and in whatever order.
-type judge struct {
+// ruleChecker plays a gateway's world by chance and holds the gateway to what must never happen, whatever comes and in whatever order.
+type ruleChecker struct {
 	*logic.Balancer
-	now   time.Duration
-	timer []time.Duration
-	open  map[logic.TxID]*judged
-	state map[logic.HostID]logic.HostState
-	wrong map[string]int
+	now        time.Duration
+	timers     []time.Duration
+	txs        map[logic.TxID]*checkedTx
+	hostStates map[logic.HostID]logic.HostState
+	violations map[string]int
 }
 
-type judged struct {
-	profile logic.Profile
-	hops    []logic.Host
-	out     int // hops without an outcome
-	mayRan  *logic.Host
-	ended   bool
+type checkedTx struct {
+	profile       logic.Profile
+	hops          []logic.Host
+	hopsInFlight  int // hops without an outcome
+	possiblyRanOn *logic.Host
+	answered      bool
 }
 
-func (j *judge) hold(what string, so bool) {
-	if !so {
-		j.wrong[what]++
+func (c *ruleChecker) check(rule string, satisfied bool) {
+	if !satisfied {
+		c.violations[rule]++
 	}
 }
 
-func (j *judge) final(id logic.TxID, back bool) {
-	t := j.open[id]
-	j.hold("a second final answer", t != nil && !t.ended)
+func (c *ruleChecker) checkFinalAnswer(id logic.TxID, rolledBack bool) {
+	t := c.txs[id]
+	c.check("a second final answer", t != nil && !t.answered)
 	if t != nil {
-		j.hold("rolled back though it may have run", !back || t.mayRan == nil && t.out == 0 || t.profile.Effect == logic.Idempotent ||
+		c.check("rolled back though it may have run", !rolledBack || t.possiblyRanOn == nil && t.hopsInFlight == 0 || t.profile.Effect == logic.Idempotent ||
 			t.profile.Effect == logic.Journalled && t.profile.DedupScope == logic.DedupAllHosts)
-		t.ended = true
+		t.answered = true
 	}
 }
 
-func (j *judge) SendHop(id logic.TxID, to logic.HostID, wait time.Duration) {
-	t := j.open[id]
-	j.hold("a hop of what is over", t != nil && !t.ended)
-	j.hold("a hop to a host that is not ready", j.state[to] == logic.HostReady)
+func (c *ruleChecker) SendHop(id logic.TxID, hostID logic.HostID, timeout time.Duration) {
+	t := c.txs[id]
+	c.check("a hop of what is over", t != nil && !t.answered)
+	c.check("a hop to a host that is not ready", c.hostStates[hostID] == logic.HostReady)
 	if t == nil {
 		return
 	}
-	h := worldHost(to)
-	j.hold("run twice", t.mayRan == nil && t.out == 0 || t.profile.Effect == logic.Idempotent ||
-		t.profile.Effect == logic.Journalled && t.mayRan != nil && t.mayRan.Zone == h.Zone)
-	t.hops = append(t.hops, h)
-	t.out++
+	target := hostWithID(hostID)
+	c.check("run twice", t.possiblyRanOn == nil && t.hopsInFlight == 0 || t.profile.Effect == logic.Idempotent ||
+		t.profile.Effect == logic.Journalled && t.possiblyRanOn != nil && t.possiblyRanOn.Zone == target.Zone)
+	t.hops = append(t.hops, target)
+	t.hopsInFlight++
 }
-func (j *judge) CallOff(logic.TxID, int)                 {}
-func (j *judge) RollBack(id logic.TxID, _ time.Duration) { j.final(id, true) }
-func (j *judge) Abandon(id logic.TxID)                   { j.final(id, false) }
-func (j *judge) Probe(logic.HostID)                      {}
-func (j *judge) CloseIdleConnections(logic.HostID)       {}
-func (j *judge) SendPeerMessage(int, []logic.PeerEntry)  {}
-func (j *judge) RequestHostList()                        {}
-func (j *judge) SetTimer(in time.Duration)               { j.timer = append(j.timer, j.now+in) }
-func (j *judge) Log(string)                              {}
+func (c *ruleChecker) CallOff(logic.TxID, int)                 {}
+func (c *ruleChecker) RollBack(id logic.TxID, _ time.Duration) { c.checkFinalAnswer(id, true) }
+func (c *ruleChecker) Abandon(id logic.TxID)                   { c.checkFinalAnswer(id, false) }
+func (c *ruleChecker) Probe(logic.HostID)                      {}
+func (c *ruleChecker) CloseIdleConnections(logic.HostID)       {}
+func (c *ruleChecker) SendPeerMessage(int, []logic.PeerEntry)  {}
+func (c *ruleChecker) RequestHostList()                        {}
+func (c *ruleChecker) SetTimer(delay time.Duration)            { c.timers = append(c.timers, c.now+delay) }
+func (c *ruleChecker) Log(string)                              {}
 
-func worldHost(id logic.HostID) logic.Host {
+func hostWithID(id logic.HostID) logic.Host {
 	return logic.Host{ID: id, Zone: string('a' + rune(id%3)), Kind: []string{"box", "tower"}[id%2], Cell: int(id % 4), State: logic.HostReady, CapacityHint: 1}
 }
 
 // Whatever comes, in each shape of deployment: hosts that come, drain, go and return by zones, outcomes of all kinds, late, twice and
 // out of order, lists lost, clients that leave. A zone left without a host stopped the program once.
-func Example_rulesByChance() {
-	order := order
-	order.DedupScope, order.DedupWindow = logic.DedupSameZone, time.Minute
-	profiles := []logic.Profile{read, order, payment}
-	for i, from := range []logic.InformationSources{{PeersShareInFlight: true, ProbesReportLoad: true}, {ResponsesReportLoad: true}, {ResponsesReportLoad: true, ResponsesReportInFlight: true, ExtraProbesAllowed: true},
+func Example_randomizedRuleChecks() {
+	zoneDedupOrder := orderProfile
+	zoneDedupOrder.DedupScope, zoneDedupOrder.DedupWindow = logic.DedupSameZone, time.Minute
+	profiles := []logic.Profile{readProfile, zoneDedupOrder, paymentProfile}
+	for i, sources := range []logic.InformationSources{{PeersShareInFlight: true, ProbesReportLoad: true}, {ResponsesReportLoad: true}, {ResponsesReportLoad: true, ResponsesReportInFlight: true, ExtraProbesAllowed: true},
 		{CapacityHints: logic.LiveCapacity}, {CapacityHints: logic.NominalCapacity}} {
-		for _, gateways := range []int{2, 300} {
-			taken, wrong := 0, map[string]int{}
+		for _, gatewayCount := range []int{2, 300} {
+			received, violations := 0, map[string]int{}
 			for seed := range uint64(8) {
-				draw := rand.New(rand.NewPCG(seed, uint64(i)))
-				j := &judge{now: time.Second, open: map[logic.TxID]*judged{}, state: map[logic.HostID]logic.HostState{}, wrong: wrong}
-				j.Balancer = logic.New(j, j.now, seed, logic.Topology{GatewayCount: gateways, GatewayIndex: 1, Zone: "a", Zones: []string{"a", "b", "c"}},
+				random := rand.New(rand.NewPCG(seed, uint64(i)))
+				checker := &ruleChecker{now: time.Second, txs: map[logic.TxID]*checkedTx{}, hostStates: map[logic.HostID]logic.HostState{}, violations: violations}
+				checker.Balancer = logic.New(checker, checker.now, seed, logic.Topology{GatewayCount: gatewayCount, GatewayIndex: 1, Zone: "a", Zones: []string{"a", "b", "c"}},
 					profiles, []logic.Tenant{{Name: "x", QuotaPerSecond: 5}}, logic.ColdHostRule{InitialCapacityFraction: 0.2, WarmUpDuration: 5 * time.Second, OverloadMultiple: 3, OverloadDuration: time.Second},
-					logic.DrainRule{CloseIdleConnections: seed%2 == 0}, logic.HopRule{MaxHops: 4, CallOff: true, MaxBufferedResponses: int(seed % 3), BudgetTolerance: time.Second}, from, logic.CostModel{})
+					logic.DrainRule{CloseIdleConnections: seed%2 == 0}, logic.HopRule{MaxHops: 4, CallOff: true, MaxBufferedResponses: int(seed % 3), BudgetTolerance: time.Second}, sources, logic.CostModel{})
 				for range 3000 {
-					j.step(draw, &taken)
+					checker.randomStep(random, &received)
 				}
 			}
-			fmt.Println(from.PeersShareInFlight, from.ResponsesReportLoad, from.ResponsesReportInFlight, from.CapacityHints, "gateways:", gateways, "taken:", taken > 1000, "wrong:", wrong)
+			fmt.Println(sources.PeersShareInFlight, sources.ResponsesReportLoad, sources.ResponsesReportInFlight, sources.CapacityHints, "gateways:", gatewayCount, "taken:", received > 1000, "wrong:", violations)
 		}
 	}
 	// Output:
@@ -105,68 +105,68 @@
 	// false false false 1 gateways: 300 taken: true wrong: map[]
 }
 
-func (j *judge) step(draw *rand.Rand, taken *int) {
-	j.now += time.Duration(draw.IntN(40)) * ms
-	for len(j.timer) > 0 && j.timer[0] <= j.now {
-		j.timer = j.timer[1:]
-		j.TimerFired(j.now)
+func (c *ruleChecker) randomStep(random *rand.Rand, received *int) {
+	c.now += time.Duration(random.IntN(40)) * ms
+	for len(c.timers) > 0 && c.timers[0] <= c.now {
+		c.timers = c.timers[1:]
+		c.TimerFired(c.now)
 	}
-	switch id := logic.HostID(1 + draw.IntN(9)); draw.IntN(12) {
+	switch id := logic.HostID(1 + random.IntN(9)); random.IntN(12) {
 	case 0:
-		h := worldHost(id)
-		h.State = logic.HostState(draw.IntN(3))
-		h.CapacityHint = 1 / (1 + 6*draw.Float64())
-		if draw.IntN(3) == 0 {
-			h.StartedAt = j.now - time.Duration(draw.IntN(4000))*ms
+		h := hostWithID(id)
+		h.State = logic.HostState(random.IntN(3))
+		h.CapacityHint = 1 / (1 + 6*random.Float64())
+		if random.IntN(3) == 0 {
+			h.StartedAt = c.now - time.Duration(random.IntN(4000))*ms
 		}
-		j.state[id] = h.State
-		j.HostListReceived(j.now, logic.ListChanges, []logic.Host{h})
+		c.hostStates[id] = h.State
+		c.HostListReceived(c.now, logic.ListChanges, []logic.Host{h})
 	case 1:
-		if zone := draw.IntN(4); zone < 3 && draw.IntN(4) == 0 { // a zone, and no other host
-			j.state = map[logic.HostID]logic.HostState{}
-			var all []logic.Host
+		if zone := random.IntN(4); zone < 3 && random.IntN(4) == 0 { // a zone, and no other host
+			c.hostStates = map[logic.HostID]logic.HostState{}
+			var zoneHosts []logic.Host
 			for id := logic.HostID(1 + zone); id < 10; id += 3 {
-				all = append(all, worldHost(id))
-				j.state[id] = logic.HostReady
+				zoneHosts = append(zoneHosts, hostWithID(id))
+				c.hostStates[id] = logic.HostReady
 			}
-			j.HostListReceived(j.now, logic.ListComplete, all)
+			c.HostListReceived(c.now, logic.ListComplete, zoneHosts)
 		}
-		if draw.IntN(10) == 0 {
-			j.HostListReceived(j.now, logic.ListFailed, nil)
+		if random.IntN(10) == 0 {
+			c.HostListReceived(c.now, logic.ListFailed, nil)
 		}
 	case 2:
-		j.ProbeEnded(j.now, id, logic.LoadReport{InFlight: float64(draw.IntN(9)), Queued: float64(draw.IntN(3)), Utilization: draw.Float64(), RequestsPerSecond: -1, LatencyMs: -1})
+		c.ProbeEnded(c.now, id, logic.LoadReport{InFlight: float64(random.IntN(9)), Queued: float64(random.IntN(3)), Utilization: random.Float64(), RequestsPerSecond: -1, LatencyMs: -1})
 	case 3, 4, 5, 6:
-		*taken++
-		p := draw.IntN(3)
-		j.open[logic.TxID(*taken)] = &judged{profile: []logic.Profile{read, {Effect: logic.Journalled, DedupScope: logic.DedupSameZone}, payment}[p]}
-		j.TransactionReceived(j.now, logic.TxID(*taken), logic.Arrival{ProfileIndex: p, TenantIndex: draw.IntN(2) - 1, Budget: time.Duration(draw.IntN(2000)) * ms})
+		*received++
+		profile := random.IntN(3)
+		c.txs[logic.TxID(*received)] = &checkedTx{profile: []logic.Profile{readProfile, {Effect: logic.Journalled, DedupScope: logic.DedupSameZone}, paymentProfile}[profile]}
+		c.TransactionReceived(c.now, logic.TxID(*received), logic.Arrival{ProfileIndex: profile, TenantIndex: random.IntN(2) - 1, Budget: time.Duration(random.IntN(2000)) * ms})
 	default:
-		tx := logic.TxID(max(1, *taken-draw.IntN(9)))
-		t := j.open[tx]
+		txID := logic.TxID(max(1, *received-random.IntN(9)))
+		t := c.txs[txID]
 		if t == nil || len(t.hops) == 0 {
 			return
 		}
-		if draw.IntN(30) == 0 {
-			t.ended = true
-			j.ClientLeft(j.now, tx)
+		if random.IntN(30) == 0 {
+			t.answered = true
+			c.ClientLeft(c.now, txID)
 			return
 		}
-		n := draw.IntN(len(t.hops))
-		if t.hops[n].ID == 0 { // told already, and now twice
-			j.HopEnded(j.now, tx, n, logic.HopResult{Outcome: logic.HopError, Load: logic.NoLoadReport}, t.ended)
+		hopIndex := random.IntN(len(t.hops))
+		if t.hops[hopIndex].ID == 0 { // told already, and now twice
+			c.HopEnded(c.now, txID, hopIndex, logic.HopResult{Outcome: logic.HopError, Load: logic.NoLoadReport}, t.answered)
 			return
 		}
-		h := t.hops[n]
-		t.hops[n].ID = 0
-		t.out--
-		r := logic.HopResult{Outcome: logic.HopOutcome(draw.IntN(8)), Latency: time.Duration(draw.IntN(1500)) * ms, Load: logic.NoLoadReport}
-		if !r.Outcome.NeverRan() && t.mayRan == nil {
-			t.mayRan = &h
+		h := t.hops[hopIndex]
+		t.hops[hopIndex].ID = 0
+		t.hopsInFlight--
+		result := logic.HopResult{Outcome: logic.HopOutcome(random.IntN(8)), Latency: time.Duration(random.IntN(1500)) * ms, Load: logic.NoLoadReport}
+		if !result.Outcome.NeverRan() && t.possiblyRanOn == nil {
+			t.possiblyRanOn = &h
 		}
-		if r.Outcome == logic.HopCommitted {
-			t.ended = true
+		if result.Outcome == logic.HopCommitted {
+			t.answered = true
 		}
-		j.HopEnded(j.now, tx, n, r, t.ended)
+		c.HopEnded(c.now, txID, hopIndex, result, t.answered)
 	}
 }
--- a/logic/size_test.go
+++ b/logic/size_test.go
@@ -7,49 +7,49 @@
 )
 
 const (
-	// largeFleet is how many gateways, and how many hosts, no part of the program may fall short of.
-	largeFleet = 1024
-	// largeAllocations is the most that one ask may allocate before so many hosts: some for the answer, and for a list of hosts that grows.
-	largeAllocations = 64
+	// largeFleetSize is how many gateways, and how many hosts, no part of the program may fall short of.
+	largeFleetSize = 1024
+	// maxAllocationsPerPick is the most that one ask may allocate before so many hosts: some for the answer, and for a list of hosts that grows.
+	maxAllocationsPerPick = 64
 )
 
-// coordinator is a gateway among a thousand that draws for a thousand hosts of its zone.
-func coordinator() *scene {
+// startLargeCoordinator is a gateway among a thousand that draws for a thousand hosts of its zone.
+func startLargeCoordinator() *testGateway {
 	var hosts []logic.Host
-	for i := range largeFleet {
-		hosts = append(hosts, host(logic.HostID(1+i), "a", i))
+	for i := range largeFleetSize {
+		hosts = append(hosts, readyHost(logic.HostID(1+i), "a", i))
 	}
-	s := startAmong(largeFleet, 0, logic.InformationSources{PeersShareInFlight: true}, []logic.Profile{read}, nil, hosts...)
-	s.quiet = true
-	return s
+	gw := startGatewayAmong(largeFleetSize, 0, logic.InformationSources{PeersShareInFlight: true}, []logic.Profile{readProfile}, nil, hosts...)
+	gw.quiet = true
+	return gw
 }
 
-// askEach has other gateways, one after the other, ask for a host.
-func (s *scene) askEach(rounds int) {
-	for i := range rounds {
-		s.PeerMessageReceived(s.now, 1+i%(largeFleet-1), []logic.PeerEntry{{Kind: logic.EntryPickRequest}})
+// sendPickRequests has other gateways, one after the other, ask for a host.
+func (gw *testGateway) sendPickRequests(count int) {
+	for i := range count {
+		gw.PeerMessageReceived(gw.now, 1+i%(largeFleetSize-1), []logic.PeerEntry{{Kind: logic.EntryPickRequest}})
 	}
 }
 
 // A draw among a thousand hosts does not allocate for each of them: it had, and of the time that a thousand asks took much went to that.
-func TestAskAllocations(t *testing.T) {
-	s := coordinator()
-	s.askEach(100)
-	if n := testing.AllocsPerRun(200, func() { s.askEach(1) }); n > largeAllocations {
-		t.Errorf("%.0f allocations for an ask", n)
+func TestPickRequestAllocations(t *testing.T) {
+	gw := startLargeCoordinator()
+	gw.sendPickRequests(100)
+	if allocations := testing.AllocsPerRun(200, func() { gw.sendPickRequests(1) }); allocations > maxAllocationsPerPick {
+		t.Errorf("%.0f allocations for an ask", allocations)
 	}
 }
 
 // What an ask costs the gateway that draws for a thousand hosts.
-func BenchmarkAsk(b *testing.B) {
-	s := coordinator()
+func BenchmarkPickRequest(b *testing.B) {
+	gw := startLargeCoordinator()
 	b.ReportAllocs()
 	for i := range b.N {
-		if i%largeFleet == 0 {
+		if i%largeFleetSize == 0 {
 			b.StopTimer()
-			s = coordinator()
+			gw = startLargeCoordinator()
 			b.StartTimer()
 		}
-		s.askEach(1)
+		gw.sendPickRequests(1)
 	}
 }
--- a/logic/subset_test.go
+++ b/logic/subset_test.go
@@ -9,88 +9,88 @@
 )
 
 // blind begins the scene of one of a hundred gateways to which nothing tells of hosts, with so many in its zone.
-func blind(hosts int, profiles ...logic.Profile) *scene {
+func blind(hosts int, profiles ...logic.Profile) *testGateway {
 	var all []logic.Host
 	for id := logic.HostID(1); id <= logic.HostID(hosts); id++ {
-		all = append(all, host(id, "a", 0))
+		all = append(all, readyHost(id, "a", 0))
 	}
-	return startAmong(100, 3, logic.InformationSources{MaxListPollInterval: 10 * time.Second}, profiles, nil, all...)
+	return startGatewayAmong(100, 3, logic.InformationSources{MaxListPollInterval: 10 * time.Second}, profiles, nil, all...)
 }
 
 // Blind gateways kept to five hosts for each transaction a second: with ten a second to a whole zone. As hosts accept
 // few connections, and each costs one as much as some work, a third of all hops got none and half of the rest was
 // rolled back. Hosts that a gateway meets once in some seconds teach it nothing either.
 func TestBlindGatewayKeepsToFewHosts(t *testing.T) {
-	s := blind(40, read)
-	s.answered(1, 400, 0) // sixteen a second
-	if n := len(s.hopsTo); n > 6 {
+	gw := blind(40, readProfile)
+	gw.runCommitted(1, 400, 0) // sixteen a second
+	if n := len(gw.hopsByHost); n > 6 {
 		t.Errorf("met %d hosts, want a few", n)
 	}
 }
 
 // The look-alike: what traffic keeps busy, and what stands in for hosts that refuse connections, is not cut short.
 func TestBlindGatewayUsesMoreHostsWhereTrafficOrRefusalsAsk(t *testing.T) {
-	s := blind(40, read)
-	s.quiet = true
+	gw := blind(40, readProfile)
+	gw.quiet = true
 	for id := 1; id <= 1200; id++ { // two hundred a second
-		s.take(id, 0, -1)
-		s.wait(5 * ms)
-		s.end(id, 0, logic.HopCommitted, 5*ms)
+		gw.receive(id, 0, -1)
+		gw.advance(5 * ms)
+		gw.endHop(id, 0, logic.HopCommitted, 5*ms)
 	}
-	if n := len(s.hopsTo); n < 12 {
+	if n := len(gw.hopsByHost); n < 12 {
 		t.Errorf("met %d hosts with two hundred transactions a second, want more", n)
 	}
-	s = blind(40, read)
-	s.answered(1, 100, 0)
-	met := s.hopsTo
-	s.hopsTo = map[logic.HostID]int{}
-	s.quiet = true
+	gw = blind(40, readProfile)
+	gw.runCommitted(1, 100, 0)
+	met := gw.hopsByHost
+	gw.hopsByHost = map[logic.HostID]int{}
+	gw.quiet = true
 	for id := 101; id <= 200; id++ {
-		s.take(id, 0, -1)
-		s.wait(5 * ms)
-		if met[s.last] > 0 {
-			s.end(id, 0, logic.HopNoConnection, 5*ms)
+		gw.receive(id, 0, -1)
+		gw.advance(5 * ms)
+		if met[gw.lastHost] > 0 {
+			gw.endHop(id, 0, logic.HopNoConnection, 5*ms)
 		} else {
-			s.end(id, 0, logic.HopCommitted, 5*ms)
+			gw.endHop(id, 0, logic.HopCommitted, 5*ms)
 		}
 	}
 	fresh := 0
-	for id := range s.hopsTo {
+	for id := range gw.hopsByHost {
 		if met[id] == 0 {
 			fresh++
 		}
 	}
 	if fresh == 0 {
-		t.Error(fmt.Sprint("no further host met as all usual ones refused connections: ", s.hopsTo))
+		t.Error(fmt.Sprint("no further host met as all usual ones refused connections: ", gw.hopsByHost))
 	}
 }
 
 // twoZones begins a blind scene with as many hosts in zone a, the own one, as in zone b, where those have ids from 100.
-func twoZones(hosts int, price logic.CostModel, profiles ...logic.Profile) *scene {
+func twoZones(hosts int, price logic.CostModel, profiles ...logic.Profile) *testGateway {
 	var all []logic.Host
 	for id := logic.HostID(1); id <= logic.HostID(hosts); id++ {
-		all = append(all, host(id, "a", 0), host(100+id, "b", 0))
+		all = append(all, readyHost(id, "a", 0), readyHost(100+id, "b", 0))
 	}
-	s := startPriced(100, 3, logic.InformationSources{MaxListPollInterval: 10 * time.Second}, price, profiles, nil, all...)
-	s.quiet = true
-	return s
+	gw := startGatewayWithCosts(100, 3, logic.InformationSources{MaxListPollInterval: 10 * time.Second}, price, profiles, nil, all...)
+	gw.quiet = true
+	return gw
 }
 
 // failsInOwnZone plays transactions of which three in five that go to the own zone end so, and returns how many of
 // the last hundred hops went there.
-func (s *scene) failsInOwnZone(end logic.HopOutcome) (own int) {
+func (gw *testGateway) failsInOwnZone(end logic.HopOutcome) (own int) {
 	for id := 1; id <= 300; id++ {
-		s.last = 0
-		s.take(id, 0, -1)
-		s.wait(60 * ms)
-		if id > 200 && s.last != 0 && s.last < 100 {
+		gw.lastHost = 0
+		gw.receive(id, 0, -1)
+		gw.advance(60 * ms)
+		if id > 200 && gw.lastHost != 0 && gw.lastHost < 100 {
 			own++
 		}
-		for hop, to := 0, s.last; to != 0; hop, to = hop+1, s.last {
-			if s.last = 0; to < 100 && id%5 < 3 {
-				s.end(id, hop, end, 60*ms)
+		for hop, to := 0, gw.lastHost; to != 0; hop, to = hop+1, gw.lastHost {
+			if gw.lastHost = 0; to < 100 && id%5 < 3 {
+				gw.endHop(id, hop, end, 60*ms)
 			} else {
-				s.end(id, hop, logic.HopCommitted, 60*ms)
+				gw.endHop(id, hop, logic.HopCommitted, 60*ms)
 			}
 		}
 	}
@@ -101,7 +101,7 @@
 // there, and that was taken for errors of the transactions. A link that fails is no less broken as others are.
 func TestZoneWhoseLinksFailIsLeft(t *testing.T) {
 	for _, end := range []logic.HopOutcome{logic.HopConnectionBroken, logic.HopNoConnection} {
-		if own := twoZones(12, logic.CostModel{}, read).failsInOwnZone(end); own > 35 {
+		if own := twoZones(12, logic.CostModel{}, readProfile).failsInOwnZone(end); own > 35 {
 			t.Errorf("end %d: %d of 100 hops still go to the zone whose links fail", end, own)
 		}
 	}
@@ -109,19 +109,19 @@
 
 // The look-alike: transactions that err wherever they go show nothing of hosts or zones.
 func TestZoneIsNotLeftForErrorsOfTransactions(t *testing.T) {
-	s := twoZones(12, logic.CostModel{}, read)
+	gw := twoZones(12, logic.CostModel{}, readProfile)
 	for id := 1; id <= 300; id++ {
-		s.take(id, 0, -1)
-		s.wait(60 * ms)
-		s.end(id, 0, [...]logic.HopOutcome{logic.HopCommitted, logic.HopError, logic.HopCommitted, logic.HopError, logic.HopCommitted}[id%5], 60*ms)
+		gw.receive(id, 0, -1)
+		gw.advance(60 * ms)
+		gw.endHop(id, 0, [...]logic.HopOutcome{logic.HopCommitted, logic.HopError, logic.HopCommitted, logic.HopError, logic.HopCommitted}[id%5], 60*ms)
 	}
-	if crossed := s.crossed(); crossed > 30 {
+	if crossed := gw.crossed(); crossed > 30 {
 		t.Errorf("%d hops left the zone", crossed)
 	}
 }
 
-func (s *scene) crossed() (n int) {
-	for id, hops := range s.hopsTo {
+func (gw *testGateway) crossed() (n int) {
+	for id, hops := range gw.hopsByHost {
 		if id >= 100 {
 			n += hops
 		}
@@ -131,38 +131,38 @@
 
 // A zone of which few hosts are barred is not left: the others there are well.
 func TestZoneIsNotLeftForOneHost(t *testing.T) {
-	s := twoZones(12, logic.CostModel{}, read)
-	s.answered(1, 20, 0)
-	down := s.last
-	s.hopsTo = map[logic.HostID]int{}
+	gw := twoZones(12, logic.CostModel{}, readProfile)
+	gw.runCommitted(1, 20, 0)
+	down := gw.lastHost
+	gw.hopsByHost = map[logic.HostID]int{}
 	for id := 21; id <= 300; id++ {
-		s.take(id, 0, -1)
-		s.wait(60 * ms)
-		if s.last == down {
-			s.end(id, 0, logic.HopConnectionBroken, ms)
+		gw.receive(id, 0, -1)
+		gw.advance(60 * ms)
+		if gw.lastHost == down {
+			gw.endHop(id, 0, logic.HopConnectionBroken, ms)
 		} else {
-			s.end(id, 0, logic.HopCommitted, 60*ms)
+			gw.endHop(id, 0, logic.HopCommitted, 60*ms)
 		}
 	}
-	if crossed := s.crossed(); crossed > 0 {
+	if crossed := gw.crossed(); crossed > 0 {
 		t.Errorf("%d hops left the zone for one host", crossed)
 	}
 }
 
 // Hosts that remember keys were met by chance: each of a gateway's few saw all keys and forgot them.
 func TestBlindKeysGoToTheSameHost(t *testing.T) {
-	s := twoZones(12, logic.CostModel{}, read)
+	gw := twoZones(12, logic.CostModel{}, readProfile)
 	hosts := map[logic.HostID]bool{}
 	for key := uint32(1); key <= 30; key++ {
 		met := map[logic.HostID]int{}
 		for id := 1; id <= 20; id++ {
 			at := int(key)*100 + id
-			s.TransactionReceived(s.now, logic.TxID(at), logic.Arrival{TenantIndex: -1, Budget: time.Second, AffinityKey: key})
-			s.wait(60 * ms)
-			s.end(at, 0, logic.HopCommitted, 60*ms)
-			met[s.last]++
+			gw.TransactionReceived(gw.now, logic.TxID(at), logic.Arrival{TenantIndex: -1, Budget: time.Second, AffinityKey: key})
+			gw.advance(60 * ms)
+			gw.endHop(at, 0, logic.HopCommitted, 60*ms)
+			met[gw.lastHost]++
 		}
-		hosts[s.last] = true
+		hosts[gw.lastHost] = true
 		if len(met) > 2 {
 			t.Errorf("key %d met %d hosts", key, len(met))
 		}
@@ -173,19 +173,19 @@
 }
 
 // playTook plays answers that take so long by turns, and returns how many of the last hundred were rolled back.
-func (s *scene) playTook(took ...time.Duration) (back int) {
+func (gw *testGateway) playTook(took ...time.Duration) (back int) {
 	for id := 1; id <= 400; id++ {
 		hops := 0
-		for _, n := range s.hopsTo {
+		for _, n := range gw.hopsByHost {
 			hops -= n
 		}
-		s.take(id, 0, -1)
-		for _, n := range s.hopsTo {
+		gw.receive(id, 0, -1)
+		for _, n := range gw.hopsByHost {
 			hops += n
 		}
-		s.wait(60 * ms)
+		gw.advance(60 * ms)
 		if hops > 0 {
-			s.end(id, 0, logic.HopCommitted, took[id%len(took)])
+			gw.endHop(id, 0, logic.HopCommitted, took[id%len(took)])
 		} else if id > 300 {
 			back++
 		}
@@ -197,11 +197,11 @@
 // with hosts half idle a tenth to a quarter of a quiet day was rolled back.
 func TestLongWorkIsNoJam(t *testing.T) {
 	nines := logic.CostModel{AvailabilityNines: 3}
-	if back := twoZones(12, nines, read).playTook(60*ms, 60*ms, 60*ms, 600*ms, 60*ms, 60*ms, 60*ms, 60*ms); back > 2 {
+	if back := twoZones(12, nines, readProfile).playTook(60*ms, 60*ms, 60*ms, 600*ms, 60*ms, 60*ms, 60*ms, 60*ms); back > 2 {
 		t.Errorf("%d of 100 rolled back for long work", back)
 	}
 	// The look-alike: what takes long everywhere is one.
-	if back := twoZones(12, nines, read).playTook(300 * ms); back < 50 {
+	if back := twoZones(12, nines, readProfile).playTook(300 * ms); back < 50 {
 		t.Errorf("only %d of 100 rolled back in a jam", back)
 	}
 }
--- a/logic/untrue_test.go
+++ b/logic/untrue_test.go
@@ -7,47 +7,47 @@
 	"spanmux/logic"
 )
 
-// untrueList plays a gateway whose list calls all hosts gone, or leaves them out, while they answer as ever, and returns the hops after that. The
+// hopsAfterWrongList plays a gateway whose list calls all hosts gone, or leaves them out, while they answer as ever, and returns the hops after that. The
 // first host stops answering then in earnest.
-func untrueList(only bool, kind logic.ListKind, first logic.HostState) map[logic.HostID]int {
-	hosts := []logic.Host{host(1, "a", 0), host(2, "a", 0), host(3, "a", 0), host(4, "a", 0)}
-	s := startRuled(60, 3, logic.InformationSources{MaxListPollInterval: 10 * time.Second}, logic.CostModel{}, logic.DrainRule{AllowGoneHosts: only},
-		logic.HopRule{MaxHops: 3, MaxRetryAfter: time.Second}, []logic.Profile{payment}, nil, hosts...)
-	s.quiet = true
-	s.answered(1, 60, 0)
-	if first == logic.HostDraining {
+func hopsAfterWrongList(allowGoneHosts bool, kind logic.ListKind, firstHostState logic.HostState) map[logic.HostID]int {
+	hosts := []logic.Host{readyHost(1, "a", 0), readyHost(2, "a", 0), readyHost(3, "a", 0), readyHost(4, "a", 0)}
+	gw := startGatewayWithRules(60, 3, logic.InformationSources{MaxListPollInterval: 10 * time.Second}, logic.CostModel{}, logic.DrainRule{AllowGoneHosts: allowGoneHosts},
+		logic.HopRule{MaxHops: 3, MaxRetryAfter: time.Second}, []logic.Profile{paymentProfile}, nil, hosts...)
+	gw.quiet = true
+	gw.runCommitted(1, 60, 0)
+	if firstHostState == logic.HostDraining {
 		hosts[0].State = logic.HostDraining
-		s.HostListReceived(s.now, logic.ListChanges, hosts[:1])
+		gw.HostListReceived(gw.now, logic.ListChanges, hosts[:1])
 	}
-	var told []logic.Host
+	var listed []logic.Host
 	if kind == logic.ListChanges {
 		for _, h := range hosts {
 			h.State = logic.HostGone
-			told = append(told, h)
+			listed = append(listed, h)
 		}
 	}
-	s.HostListReceived(s.now, kind, told)
-	s.hopsTo = map[logic.HostID]int{}
+	gw.HostListReceived(gw.now, kind, listed)
+	gw.hopsByHost = map[logic.HostID]int{}
 	for id := 100; id < 300; id++ {
-		s.last = 0
-		s.take(id, 0, -1)
-		s.wait(60 * ms)
-		for hop, to := 0, s.last; to != 0; hop, to = hop+1, s.last {
-			if s.last = 0; to == 1 {
-				s.end(id, hop, logic.HopNoConnection, 60*ms)
+		gw.lastHost = 0
+		gw.receive(id, 0, -1)
+		gw.advance(60 * ms)
+		for hopIndex, hostID := 0, gw.lastHost; hostID != 0; hopIndex, hostID = hopIndex+1, gw.lastHost {
+			if gw.lastHost = 0; hostID == 1 {
+				gw.endHop(id, hopIndex, logic.HopNoConnection, 60*ms)
 			} else {
-				s.end(id, hop, logic.HopCommitted, 60*ms)
+				gw.endHop(id, hopIndex, logic.HopCommitted, 60*ms)
 			}
 		}
 	}
-	return s.hopsTo
+	return gw.hopsByHost
 }
 
 // A list called all thirty hosts gone while they answered, and for nine seconds a gateway that believed it rolled all back (ieafa53). Where only
 // drains bind, a list proves nothing of what runs: own hops do.
-func TestUntrueListIsNotBelieved(t *testing.T) {
+func TestGoneHostsThatAnswerAreStillUsed(t *testing.T) {
 	for _, kind := range []logic.ListKind{logic.ListChanges, logic.ListComplete} {
-		hops := untrueList(true, kind, logic.HostReady)
+		hops := hopsAfterWrongList(true, kind, logic.HostReady)
 		if hops[2]+hops[3]+hops[4] < 190 || hops[1] > 30 {
 			t.Errorf("list %d: hops %v: want the three that answer used, the one that does not left", kind, hops)
 		}
@@ -55,12 +55,12 @@
 }
 
 // The look-alikes: where being gone binds nothing goes there, and a host that drained first gets nothing either way.
-func TestListThatBindsIsKept(t *testing.T) {
+func TestGoneAndDrainingHostsGetNoHops(t *testing.T) {
 	for _, kind := range []logic.ListKind{logic.ListChanges, logic.ListComplete} {
-		if hops := untrueList(false, kind, logic.HostReady); len(hops) > 0 {
+		if hops := hopsAfterWrongList(false, kind, logic.HostReady); len(hops) > 0 {
 			t.Errorf("list %d: hops %v to hosts that are gone", kind, hops)
 		}
-		if hops := untrueList(true, kind, logic.HostDraining); hops[1] > 0 {
+		if hops := hopsAfterWrongList(true, kind, logic.HostDraining); hops[1] > 0 {
 			t.Errorf("list %d: hops %v: the first one drained", kind, hops)
 		}
 	}
