--- a/logic/bench_test.go
+++ b/logic/bench_test.go
@@ -8,8 +8,9 @@
 	"spanmux/logic"
 )
 
-// What one transaction costs from its arrival to its end, by how many hosts there are and by what is told of them: with 250 hosts and
-// lists that change twice a second it had cost 22 us, as each draw weighed all hosts and each list sorted them.
+// BenchmarkDecision measures one transaction from its arrival to its end, by the number of hosts and by what is known
+// of them. With 250 hosts and a list that changes twice a second it had taken 22 us, as each pick weighed all hosts and
+// each list sorted them.
 func BenchmarkDecision(b *testing.B) {
 	for _, scenario := range []struct {
 		name    string
@@ -21,7 +22,8 @@
 	}
 }
 
-// benchmarkDecisions plays one gateway of 200 at 50 transactions a second, with a list twice a second that tells other sizes each time.
+// benchmarkDecisions runs one gateway of 200 at 50 transactions per second, with a list twice a second whose capacity
+// hints differ each time.
 func benchmarkDecisions(b *testing.B, sources logic.InformationSources, hosts int) {
 	list := make([]logic.Host, hosts)
 	for i := range list {
--- a/logic/idlehost_test.go
+++ b/logic/idlehost_test.go
@@ -7,8 +7,10 @@
 	"spanmux/logic"
 )
 
-// A host that answered some in 0.3 ms, and then some in 20 ms as its machine was busy, is idle for ten seconds, far under the goal of 0.4 s. What
-// comes is to go to it: rolled back for what is expected against the least time of late, nothing is ever learnt anew (Example_replaced of cmd/spanmux under load).
+// A host answered some hops in 0.3 ms, then some in 20 ms as its machine was busy, and is now idle for ten seconds.
+// Both times are far below the service goal of 0.4 s, so transactions must go there. When they were rejected because
+// the expected time exceeds the least recent service time, nothing new was ever learned about the host (seen in
+// Example_replaced of cmd/spanmux under load).
 func Example_idleHost() {
 	gw := startGatewayAmong(1, 0, logic.InformationSources{MaxListPollInterval: 10 * time.Second}, []logic.Profile{readProfile}, nil, readyHost(1, "a", 1))
 	gw.quiet = true
@@ -31,8 +33,9 @@
 	// hops, of 100: 100
 }
 
-// Hosts of a kind that tells nothing, as others do, were taken for full, always: what is out was divided by a knee of zero. They got one hop of 538
-// and the one that tells all others (seven of nine drawn harmless days of such shapes gave up early). They are as good as any now.
+// Hosts of a kind that reports no load, next to others that do, always counted as full, because their hops in flight
+// were divided by a concurrency limit of zero. They got one hop of 538 and the reporting host all others (on seven of
+// nine random harmless days with such hosts gateways gave up early). They are now used as much as any.
 func Example_hostKindWithoutReports() {
 	hosts := []logic.Host{readyHost(1, "a", 1), readyHost(2, "a", 1), readyHost(3, "a", 1)}
 	hosts[1].Kind, hosts[2].Kind = "crate", "crate"
--- a/logic/largefleet_test.go
+++ b/logic/largefleet_test.go
@@ -7,13 +7,14 @@
 )
 
 const (
-	// largeFleetSize is how many gateways, and how many hosts, no part of the program may fall short of.
+	// largeFleetSize is the number of gateways, and of hosts, that every part of the program must be able to handle.
 	largeFleetSize = 1024
-	// maxAllocationsPerPick is the most that one ask may allocate before so many hosts: some for the answer, and for a list of hosts that grows.
+	// maxAllocationsPerPick bounds the allocations for a pick among so many hosts: some for the response, and some for a
+	// list of hosts that grows.
 	maxAllocationsPerPick = 64
 )
 
-// startLargeCoordinator is a gateway among a thousand that draws for a thousand hosts of its zone.
+// startLargeCoordinator starts one of a thousand gateways that is the coordinator of a zone with a thousand hosts.
 func startLargeCoordinator() *testGateway {
 	var hosts []logic.Host
 	for i := range largeFleetSize {
@@ -24,14 +25,15 @@
 	return gw
 }
 
-// sendPickRequests has other gateways, one after the other, ask for a host.
+// sendPickRequests has other gateways request picks, one after the other.
 func (gw *testGateway) sendPickRequests(count int) {
 	for i := range count {
 		gw.PeerMessageReceived(gw.now, 1+i%(largeFleetSize-1), []logic.PeerEntry{{Kind: logic.EntryPickRequest}})
 	}
 }
 
-// A draw among a thousand hosts does not allocate for each of them: it had, and of the time that a thousand asks took much went to that.
+// A pick among a thousand hosts must not allocate for each of them. It had, and much of the time of a thousand pick
+// requests went to that.
 func TestPickRequestAllocations(t *testing.T) {
 	gw := startLargeCoordinator()
 	gw.sendPickRequests(100)
@@ -40,7 +42,7 @@
 	}
 }
 
-// What an ask costs the gateway that draws for a thousand hosts.
+// BenchmarkPickRequest measures a pick request at the coordinator of a zone with a thousand hosts.
 func BenchmarkPickRequest(b *testing.B) {
 	gw := startLargeCoordinator()
 	b.ReportAllocs()
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -11,12 +11,13 @@
 	"spanmux/logic"
 )
 
-// Rule 2: a payment goes on only while every hop surely never ran, and is rolled back only then.
+// A non-idempotent transaction is retried only while no hop of it can have run, and rolled back only if none can have.
+// Otherwise it is abandoned.
 func Example_nonIdempotent() {
 	gw := startGateway([]logic.Profile{paymentProfile}, nil, readyHost(1, "a", 1), readyHost(2, "a", 1))
 	gw.receive(1, 0, -1)
-	gw.endHop(1, 0, logic.HopNoConnection, ms) // never ran: another hop
-	gw.endHop(1, 1, logic.HopHostFull, ms)     // nor there, and no host is left
+	gw.endHop(1, 0, logic.HopNoConnection, ms) // never ran: it is retried
+	gw.endHop(1, 1, logic.HopHostFull, ms)     // never ran there either, and no host is left
 	gw.receive(2, 0, -1)
 	gw.endHop(2, 0, logic.HopError, ms) // may have run
 	gw.printLines()
@@ -28,7 +29,8 @@
 	// 1000 tx 2 abandoned
 }
 
-// Rule 2: an order that may have run goes on in its cell only, within the time in which repeats are dropped.
+// A journalled transaction that may have run is retried only at hosts that drop its repeats, here those of the same
+// cell, and only within its deduplication window.
 func Example_journalled() {
 	gw := startGateway([]logic.Profile{orderProfile}, nil, readyHost(1, "a", 1), readyHost(2, "a", 2), readyHost(3, "b", 1), readyHost(4, "b", 2))
 	gw.receive(1, 0, -1)
@@ -36,7 +38,7 @@
 	gw.endHop(1, 1, logic.HopError, ms) // no further host in its cell
 	gw.receive(3, 0, -1)
 	gw.advance(299 * ms)
-	gw.endHop(3, 0, logic.HopConnectionBroken, ms) // may have run, and its window is as good as over
+	gw.endHop(3, 0, logic.HopConnectionBroken, ms) // may have run, and its deduplication window is all but over
 	gw.printLines()
 	// Output:
 	// 1000 tx 1 hop to 2 for 395
@@ -46,8 +48,8 @@
 	// 1299 tx 3 abandoned
 }
 
-// At a start a host's slots are a guess: nothing is rolled back by it, and no work is learnt by it. As hops pile up there the
-// host is probed, and what that shows holds from then on.
+// At the start the number of slots of a host is a guess: no transaction is rejected by it, and no service time is
+// learned by it. As hops accumulate there the host is probed, and what its report shows counts from then on.
 func Example_slotsUnknown() {
 	gw := startGatewayAmong(2, 0, logic.InformationSources{ProbesReportLoad: true}, []logic.Profile{readProfile}, nil, readyHost(1, "a", 1))
 	gw.quiet = true
@@ -56,7 +58,7 @@
 	}
 	gw.quiet = false
 	gw.receive(8, 0, -1)
-	gw.endHop(2, 0, logic.HopCommitted, 200*ms) // among eight on four slots; by the guess 44 ms of work
+	gw.endHop(2, 0, logic.HopCommitted, 200*ms) // one of eight on four slots; by the guessed slots it would be 44 ms of work
 	gw.endHop(3, 0, logic.HopCommitted, 200*ms)
 	gw.ProbeEnded(gw.now, 1, logic.LoadReport{InFlight: 8, Queued: 4, Utilization: -1})
 	for id := 9; id <= 15; id++ {
@@ -77,8 +79,8 @@
 	// hops: map[1:10]
 }
 
-// One answer lost says little of a host's pace: where a time-out is far longer than the work, that host, and with it all,
-// would look too slow for anything.
+// A single timeout must say little about the speed of a host. Where the timeout is far longer than the work, that host,
+// and with it all hosts, would look too slow for any service goal.
 func Example_singleTimeout() {
 	gw := startGateway([]logic.Profile{readProfile}, nil, readyHost(1, "a", 1))
 	gw.runCommitted(1, 30, 0)
@@ -92,7 +94,7 @@
 	// 2800 tx 32 hop to 1 for 1000
 }
 
-// Rule 3: from the moment it is told a gateway sends nothing to a host that drains or is gone.
+// From the moment the list says so, a gateway sends nothing to a host that is draining or gone.
 func Example_drain() {
 	gw := startGateway([]logic.Profile{readProfile}, nil, readyHost(1, "a", 1), readyHost(2, "a", 1))
 	draining := readyHost(1, "a", 1)
@@ -100,7 +102,7 @@
 	gw.HostListReceived(gw.now, logic.ListChanges, []logic.Host{draining})
 	gw.runCommitted(1, 20, 0)
 	fmt.Println("hops while 1 drains:", gw.hopsByHost)
-	gw.HostListReceived(gw.now, logic.ListComplete, []logic.Host{readyHost(1, "a", 1)}) // 2 is missing from it: gone
+	gw.HostListReceived(gw.now, logic.ListComplete, []logic.Host{readyHost(1, "a", 1)}) // host 2 is missing from the list, so it is gone
 	gw.runCommitted(21, 20, 0)
 	fmt.Println("hops after 2 is gone:", gw.hopsByHost)
 	// Output:
@@ -108,8 +110,9 @@
 	// hops after 2 is gone: map[1:20 2:20]
 }
 
-// Where settings say so, connections to a draining host are closed: what is idle as this gateway is told, the rest as it falls idle,
-// when a hop or a probe there ends. Left open for half a second, they broke that rule (rough-1 and rules-4 of one deployment).
+// Where DrainRule.CloseIdleConnections is set, connections to a draining host are closed: idle ones when the list
+// arrives, the others as they become idle, that is when a hop or a probe there ends. Left open for half a second, they
+// broke that rule (runs rough-1 and rules-4 of one deployment).
 func Example_drainClosesIdleConnections() {
 	for _, closeIdle := range []bool{true, false} {
 		gw := startGatewayWithRules(2, 0, logic.InformationSources{ProbesReportLoad: true}, logic.CostModel{}, logic.DrainRule{CloseIdleConnections: closeIdle},
@@ -138,7 +141,8 @@
 	// 1000 tx 2 hop to 1 for 1000
 }
 
-// Rule 4: a cold host gets one hop a window at first, then by what a warm host of its kind gets through.
+// A cold host gets one hop per overload window at first, then as many as the throughput of a warm host of its kind
+// allows.
 func Example_coldHost() {
 	gw := startGateway([]logic.Profile{readProfile}, nil, readyHost(1, "a", 1))
 	gw.runCommitted(1, 10, 0)
@@ -155,8 +159,9 @@
 	// second 1 hops: map[1:9 2:7]
 }
 
-// Rule 4, at many gateways that the list tells what hosts hold: as most hosts stood still at once all turned to a cold one, which
-// holds little, and pushed it over (4.9 times what it could do). Now few may send it one hop in a window, by lot.
+// Many gateways that know the load from live capacity hints: when most hosts stalled at once, all of them turned to a
+// cold host, which had little in flight, and sent it 4.9 times what it could do. Now only a few gateways, chosen at
+// random, may send it one hop per window.
 func Example_coldHostWithLiveCapacityHints() {
 	hopsToCold := 0
 	for gatewayIndex := range 200 {
@@ -175,23 +180,23 @@
 	// hops to the cold host in a window, of 800: 10
 }
 
-// Rule 1: each transaction has one final answer, in time; what comes later is only learnt from.
+// Each transaction gets exactly one final answer, in time. An outcome that comes later is only learned from.
 func Example_finalAnswers() {
 	latePayment := paymentProfile
 	latePayment.LateRevenueFraction = 0.5
 	gw := startGateway([]logic.Profile{paymentProfile, latePayment, readProfile}, nil, readyHost(1, "a", 1), readyHost(2, "a", 1), readyHost(3, "a", 1))
-	gw.receive(1, 0, -1) // earns nothing past its goal, so it stops there
-	gw.receive(2, 1, -1) // earns something, so it has its budget
-	gw.receive(3, 2, -1) // would only come again if it were stopped at its goal
+	gw.receive(1, 0, -1) // earns nothing past its goal, so it ends there
+	gw.receive(2, 1, -1) // earns something then, so it has its whole budget
+	gw.receive(3, 2, -1) // idempotent: if it ended at its goal, its client would only retry
 	gw.advance(395 * ms)
 	gw.endHop(1, 0, logic.HopTimedOut, 395*ms)
-	gw.endHop(1, 0, logic.HopTimedOut, 395*ms) // told twice
+	gw.endHop(1, 0, logic.HopTimedOut, 395*ms) // reported twice
 	gw.endHop(3, 0, logic.HopCommitted, 395*ms)
 	gw.endHop(3, 1, logic.HopCalledOff, 0)
 	gw.receive(4, 2, -1)
 	gw.ClientLeft(gw.now, 4)
 	gw.endHop(4, 0, logic.HopError, ms)
-	gw.endHop(99, 0, logic.HopError, ms) // never taken
+	gw.endHop(99, 0, logic.HopError, ms) // never received
 	gw.printLines()
 	// Output:
 	// 1000 tx 1 hop to 2 for 395
@@ -201,7 +206,8 @@
 	// 1395 tx 4 rolled back, come back after 395
 }
 
-// A lost list is asked for again after spread and growing delays; a thousand gateways spread over seconds.
+// A failed request for the host list is repeated after random delays that grow. A thousand gateways spread their
+// requests over seconds.
 func Example_hostListRetries() {
 	gw := startGateway(nil, nil, readyHost(1, "a", 1))
 	for range 2 {
@@ -226,7 +232,7 @@
 	// [204 206 195 198 197]
 }
 
-// A host that errs on half of its orders but answers all reads is barred to orders; a trial lets it back.
+// A host that fails half of its orders but answers all reads is barred for orders only. A successful trial readmits it.
 func Example_breakerForOneProfile() {
 	gw := startGateway([]logic.Profile{readProfile, orderProfile}, nil, readyHost(1, "a", 1))
 	for id := 200; id < 216; id += 2 {
@@ -252,7 +258,7 @@
 	// 5140 log: host 1, order: breaker open false
 }
 
-// Where a quarter of the hops err at every host, breakers stop opening once that is seen.
+// Where a quarter of the hops fail at every host, breakers stop opening once that is known.
 func Example_errorsEverywhere() {
 	gw := startGateway([]logic.Profile{paymentProfile}, nil, readyHost(1, "a", 1), readyHost(2, "a", 1))
 	gw.quiet = true
@@ -266,8 +272,8 @@
 	// map[1:98 2:102]
 }
 
-// Where one hop in fourteen errs at all hosts alike, as when answers come spoilt or connections are reset, errors close
-// together are chance and open no breaker; a host that errs on all is barred as ever.
+// Where one hop in fourteen fails at all hosts alike, as when responses are corrupted or connections are reset, errors
+// close together are chance and open no breaker. A host that fails all of its hops is barred as before.
 func Example_randomErrors() {
 	gw := startGateway([]logic.Profile{paymentProfile}, nil, readyHost(1, "a", 1), readyHost(2, "a", 1), readyHost(3, "a", 1), readyHost(4, "a", 1))
 	gw.quiet = true
@@ -288,11 +294,11 @@
 	// 1000 log: host 1, payment: breaker open true
 }
 
-// A host that hangs is passed over before its hops time out.
+// A host that hangs is avoided before the hops there time out.
 func Example_unresponsiveHost() {
 	gw := startGateway([]logic.Profile{readProfile}, nil, readyHost(1, "a", 1))
 	gw.runCommitted(1, 20, 0)
-	gw.receive(50, 0, -1) // to 1, which hangs from now on
+	gw.receive(50, 0, -1) // goes to host 1, which hangs from now on
 	gw.HostListReceived(gw.now, logic.ListChanges, []logic.Host{readyHost(2, "a", 1)})
 	gw.advance(410 * ms)
 	gw.hopsByHost = map[logic.HostID]int{}
@@ -302,15 +308,15 @@
 	// after that: map[2:10]
 }
 
-// longGoalReadProfile has a goal of which waiting for another gateway's answer, at the most, is a small part.
+// longGoalReadProfile has a service goal of which the longest wait for a remote pick is a small fraction.
 var longGoalReadProfile = func() logic.Profile {
 	p := readProfile
 	p.ServiceGoal = time.Second
 	return p
 }()
 
-// One of many gateways asks the one that draws for its zone, tells how hops end and draws itself when unanswered;
-// after five such waits it asks the next.
+// One of many gateways requests picks from the coordinator of its zone, sends it the outcomes of hops, and picks by
+// itself where no response comes. After five requests without a response it turns to the next coordinator.
 func Example_remotePick() {
 	gw := startGatewayAmong(100, 9, logic.InformationSources{PeersShareInFlight: true}, []logic.Profile{longGoalReadProfile}, nil, readyHost(1, "a", 1), readyHost(2, "a", 1))
 	gw.receive(1, 0, -1)
@@ -319,8 +325,8 @@
 	gw.endHop(1, 0, logic.HopCommitted, 20*ms)
 	gw.advance(20 * ms)
 	gw.receive(2, 0, -1)
-	gw.PeerMessageReceived(gw.now, 0, []logic.PeerEntry{{Kind: logic.EntryPickResponse}})                                                              // no host: better rolled back
-	gw.PeerMessageReceived(gw.now, 0, []logic.PeerEntry{{Kind: logic.EntryPickResponse, Host: 1}, {Kind: logic.EntryInFlight, Host: 77, InFlight: 3}}) // too late, unknown
+	gw.PeerMessageReceived(gw.now, 0, []logic.PeerEntry{{Kind: logic.EntryPickResponse}})                                                              // no host: it is rolled back
+	gw.PeerMessageReceived(gw.now, 0, []logic.PeerEntry{{Kind: logic.EntryPickResponse, Host: 1}, {Kind: logic.EntryInFlight, Host: 77, InFlight: 3}}) // too late; unknown host
 	gw.advance(20 * ms)
 	gw.quiet = true
 	for id := 10; id < 15; id++ {
@@ -344,7 +350,8 @@
 	// 1580 tell 2: asks, host 0, 0 hops
 }
 
-// Who draws spreads the transactions of all that ask, and counts each hop as out from then on.
+// A zone coordinator spreads the transactions of all gateways that request picks, and counts each hop as in flight from
+// the pick on.
 func Example_zoneCoordinator() {
 	gw := startGatewayAmong(100, 0, logic.InformationSources{PeersShareInFlight: true}, []logic.Profile{readProfile}, nil, readyHost(1, "a", 1), readyHost(2, "a", 1),
 		readyHost(3, "b", 2))
@@ -363,7 +370,7 @@
 	// 2220 tell 5: answer, host 2, 1 hops
 }
 
-// Rule 4 at size: a thousand gateways with a transaction each, ten for every warm host, send the cold one less than ten.
+// A thousand gateways with a transaction each, ten for every warm host, send fewer than ten to the cold host.
 func Example_coldHostAtThousandGateways() {
 	hopsToCold, hosts := 0, []logic.Host{readyHost(1, "a", 1)}
 	hosts[0].StartedAt = 900 * ms
@@ -380,8 +387,8 @@
 	// hops to the cold host: 3
 }
 
-// Where all hosts are slow, hops that time out everywhere open no breaker, as that would jam the rest; far
-// longer ones do.
+// Where all hosts are slow, hops that time out everywhere open no breaker, as that would overload the remaining hosts.
+// Timeouts after far longer do.
 func Example_timeoutsUnderCongestion() {
 	for _, latency := range []time.Duration{110 * ms, 300 * ms} {
 		gw := startGateway([]logic.Profile{readProfile}, nil, readyHost(1, "a", 1))
@@ -402,7 +409,8 @@
 	// 3700 log: host 1, read: breaker open true
 }
 
-// The own zone comes first; near full it spills; where both are full the rest is rolled back at once.
+// Hops go to the gateway's own zone first, and to other zones once that is near full. Where both are full, further
+// transactions are rejected at once.
 func Example_zoneSpillover() {
 	gw := startGateway([]logic.Profile{readProfile}, nil, readyHost(1, "a", 1), readyHost(2, "b", 2))
 	gw.runCommitted(1, 20, 0)
@@ -419,7 +427,7 @@
 	// all at once: map[1:3 2:3]
 }
 
-// A profile that earns far more for the same work still gets room where the cheaper one is rolled back.
+// A profile that earns far more for the same work is still admitted where a cheaper one is rejected.
 func Example_yieldToHigherRevenue() {
 	highRevenue := paymentProfile
 	highRevenue.Revenue = 5
@@ -438,12 +446,12 @@
 	// 4600 tx 200 hop to 1 for 395
 }
 
-// A tenant far over its share yields as soon as its hops would wait; the others do not.
+// A tenant far over its share is rejected as soon as its hops would wait. The other tenants are not.
 func Example_tenantOverShare() {
 	tenants := []logic.Tenant{{"greedy", 10}, {"small", 10}, {"other", 10}}
 	gw := startGateway([]logic.Profile{readProfile}, tenants, readyHost(1, "a", 1))
 	gw.quiet = true
-	for id := range 240 { // four seconds: 48 a second of the first, 6 of each other
+	for id := range 240 { // for four seconds, 48 a second of the first tenant and 6 of each other one
 		gw.receive(1000+id, 0, []int{0, 0, 0, 0, 1, 0, 0, 0, 0, 2}[id%10])
 		gw.advance(16 * ms)
 		gw.endHop(1000+id, 0, logic.HopCommitted, 16*ms)
@@ -457,7 +465,7 @@
 	// 4840 tx 2001 rolled back, come back after 16
 }
 
-// A host seen slow while it was cold is hardly drawn, and drawn again some time after.
+// A host that was slow while it was cold is hardly picked at first, and picked again some time later.
 func Example_slowHostRecovers() {
 	gw := startGateway([]logic.Profile{readProfile}, nil, readyHost(1, "a", 1))
 	gw.runCommitted(1, 20, 0)
@@ -480,7 +488,7 @@
 	// 20.86s map[1:267 2:53]
 }
 
-// A profile that is turned away as full while others are answered is kept off that host.
+// A host that rejects a profile as full while it answers others is barred for that profile.
 func Example_fullForOneProfile() {
 	gw := startGateway([]logic.Profile{readProfile, orderProfile}, nil, readyHost(1, "a", 1))
 	for id := range 3 {
@@ -499,7 +507,7 @@
 	// 1180 tx 12 rolled back, come back after 100
 }
 
-// In a jam every answer is slow; that does not raise the bound over which transactions are rolled back.
+// Under congestion every answer is slow. That must not raise the threshold over which transactions are rejected.
 func Example_admissionThresholdUnderCongestion() {
 	gw := startGateway([]logic.Profile{readProfile}, nil, readyHost(1, "a", 1))
 	gw.runCommitted(1, 80, 0)
@@ -514,8 +522,8 @@
 	// 7662 log: 3 transactions rejected on arrival in the last second
 }
 
-// startWithInFlightReports begins a scene at one of 300 gateways of client processes, where answers tell what hosts hold and how busy they are
-// and connections cost; h hosts in each of two zones.
+// startWithInFlightReports starts one of 300 gateways, one for each client process, where responses report the hops in
+// flight and the utilization of a host and open connections cost, with hostsPerZone hosts in each of two zones.
 func startWithInFlightReports(gatewayIndex, hostsPerZone int) *testGateway {
 	var hosts []logic.Host
 	for id := range 2 * hostsPerZone {
@@ -527,15 +535,15 @@
 		logic.CostModel{CrossZoneHop: 0.03, OpenConnections: true, MissedGoals: true}, []logic.Profile{lateOrder}, nil, hosts...)
 }
 
-// endHopWithReport ends a transaction's first hop with what its host tells.
+// endHopWithReport commits the first hop of a transaction, with a report of the host's hops in flight and utilization.
 func (gw *testGateway) endHopWithReport(id int, latency time.Duration, inFlight, utilization float64) {
 	load := logic.NoLoadReport
 	load.InFlight, load.Utilization = inFlight, utilization
 	gw.HopEnded(gw.now, logic.TxID(id), 0, logic.HopResult{Outcome: logic.HopCommitted, Latency: latency, Load: load}, true)
 }
 
-// Hosts take fewer connections than there are gateways: each keeps to few hosts in an order of its own, spread evenly, and
-// gives back what it no longer uses. Its traffic says how many.
+// Hosts accept fewer connections than there are gateways. Each gateway keeps to a few hosts, in an order of its own
+// that spreads gateways evenly, and closes connections that it no longer uses. Its traffic determines how many hosts.
 func Example_hostSubset() {
 	gatewaysByHost := map[logic.HostID]int{}
 	for gatewayIndex := range 300 {
@@ -574,8 +582,9 @@
 	// 11662 release 1
 }
 
-// What hosts tell they hold counts there: over the knee, which held over busy shows, nothing more goes to them, and what the
-// zone has no room for goes to the other or is rolled back at once.
+// Hops in flight that hosts report count there. Over the concurrency limit, which hops in flight divided by utilization
+// shows, nothing more is sent to a host, and what a zone has no capacity for goes to the other zone or is rejected at
+// once.
 func Example_reportedInFlightOverLimit() {
 	for _, inFlight := range []float64{2, 30} {
 		gw := startWithInFlightReports(1, 1)
@@ -601,8 +610,8 @@
 	// 2200 tx 21 rolled back, come back after 59
 }
 
-// As a day begins utilisation lags what hosts hold: at 40 hops reported with a third of the cores in use a host is full all
-// the same. Such reports had the knee at three to six times its value.
+// As traffic rises, utilization lags behind the hops in flight: at 40 hops reported with a third of the cores in use a
+// host is full all the same. Such reports had put the concurrency limit at three to six times its value.
 func Example_utilizationLagsInFlight() {
 	gw := startWithInFlightReports(1, 1)
 	for i, inFlight := range []float64{4, 14, 26, 40} {
@@ -617,8 +626,8 @@
 	// 1400 tx 1 rolled back, come back after 100
 }
 
-// News of what hosts hold is some time old, and clients try again at once: after a second in which hosts were full, hosts that
-// tell of few do not let in all that comes.
+// Reports of hops in flight are some time old, and clients retry at once. After a second in which hosts were full,
+// reports of few hops in flight must not admit all that arrives.
 func Example_admissionAfterFullHosts() {
 	gw := startWithInFlightReports(1, 1)
 	gw.quiet = true
@@ -650,8 +659,9 @@
 	// of 40, where hosts have just been full: 16
 }
 
-// Connections may be dropped unseen: after one such loss a hop on one that stood unused waits no longer than an answer usually
-// takes, so that there is time for another in its zone, and while it is out nothing more goes there.
+// Connections may be dropped without notice. After one such loss, a hop on an idle connection waits no longer than an
+// answer usually takes, so that there is time for another one in its zone, and while it is in flight nothing more is
+// sent to that host.
 func Example_droppedConnection() {
 	gw := startWithInFlightReports(1, 4)
 	gw.quiet = true
@@ -682,7 +692,8 @@
 	// 8000 tx 33 hop to 2 for 1000
 }
 
-// What ends after the gateway itself stood still says nothing of a host: its time is the standstill's. It was taken for a jam.
+// Hops that end after this process was stalled say nothing about their hosts: their latency is that of the stall, and
+// had been taken for congestion.
 func Example_stalledProcess() {
 	gw := startWithInFlightReports(1, 1)
 	gw.quiet = true
@@ -694,7 +705,7 @@
 	for id := 30; id < 36; id++ {
 		gw.receive(id, 0, -1)
 	}
-	gw.now += 2 * time.Second // no timer comes
+	gw.now += 2 * time.Second // no timer fires
 	for id := 30; id < 36; id++ {
 		gw.endHopWithReport(id, 2*time.Second, 2, 0.25)
 	}
@@ -708,8 +719,9 @@
 	// 4800 tx 36 hop to 1 for 1000
 }
 
-// Where connections are slow to come up each try costs its host as much as transactions: none is made for some two seconds after one
-// failed. What stood unused carries one hop in such times until that is answered: all others there would be lost with it.
+// Where connections are slow to open, each attempt costs its host as much as transactions do: after a failure no new
+// one is tried there for about maxCooldown. Meanwhile an idle connection carries a single hop until that is answered,
+// as all others on it would be lost with it.
 func Example_failedConnection() {
 	gw := startWithInFlightReports(1, 1)
 	gw.receive(1, 0, -1)
@@ -741,8 +753,8 @@
 	// 1720 tx 6 rolled back, come back after 59
 }
 
-// A popular key's host is passed over while it works on far more than others, by its rate and time; a little more does not
-// count, as it remembers the key.
+// The host of a popular affinity key is avoided while it works on far more than others, by its reported rate and
+// latency. A little more does not count, as this host remembers the key.
 func Example_popularAffinityKey() {
 	gw := startGatewayAmong(300, 1, logic.InformationSources{ResponsesReportLoad: true}, []logic.Profile{readProfile}, nil,
 		readyHost(1, "a", 1), readyHost(2, "a", 2), readyHost(3, "a", 3))
@@ -766,8 +778,9 @@
 	// rate 900 at host 3, hops: map[1:39 3:1]
 }
 
-// What is open when rules change keeps its profile and its number of hops: a payment that may run twice from now on is not sent
-// twice where it was taken as one that may not. What comes then goes by the new ones, with what was learnt.
+// Open transactions keep their profile and their maximum number of hops when rules change: a payment that is idempotent
+// from now on is not sent twice where it was received as non-idempotent. New transactions go by the new rules, with
+// what was learned before.
 func Example_reconfigure() {
 	gw := startGateway([]logic.Profile{paymentProfile}, nil, readyHost(1, "a", 1), readyHost(2, "a", 1), readyHost(3, "a", 1))
 	gw.runCommitted(10, 30, 0)
@@ -797,8 +810,8 @@
 	// 2800 tx 4 rolled back, come back after 0
 }
 
-// A transaction whose body is still to come is no work for its host yet: others are not rolled back for it. From its last byte on it
-// counts, with all of its time.
+// A transaction whose body is still arriving is no work for its host yet: no others are rejected for it. From its last
+// byte on it counts, with its whole time budget.
 func Example_bodyPending() {
 	gw := startGateway([]logic.Profile{readProfile}, nil, readyHost(1, "a", 1))
 	gw.runCommitted(1, 30, 0)
@@ -829,9 +842,10 @@
 	// 6300 tx 51 rolled back, come back after 60
 }
 
-// Where the list tells all gateways alike what hosts hold, some time ago, none takes the least loaded ones alone: they would be
-// buried by turns. What is told is evened out; a kind that holds more goes on getting less, and a zone that holds more than all do
-// sends part of its traffic away. Where hosts that hops go to hold much and answers take long, too, nothing more is taken.
+// Live capacity hints tell all gateways the same about what hosts had in flight some time ago. If each took the least
+// loaded hosts alone, these would be overloaded by turns, so differences are evened out instead. A kind of host with
+// more in flight goes on getting less, and a zone with more in flight than the mean sends part of its traffic away.
+// Where the hosts that hops go to have much in flight and answers are slow too, transactions are rejected.
 func Example_liveCapacityHints() {
 	hostWithHint := func(id logic.HostID, zone, kind string, hint float64) logic.Host {
 		h := readyHost(id, zone, 1)
@@ -870,9 +884,11 @@
 	// held for each core: [5 5 5 5] hops of 100: map[1:3 2:5 3:3]
 }
 
-// Where some transactions get an error at any host, no host is to blame: none is barred for a row of them, two hosts are believed,
-// and they are not counted to their tenant's share. Half of the good ones were rolled back for it, and most of that tenant's. Hosts of
-// zones that get no hops do not show what is usual: by them hosts were barred all the same, and the rest crowded one after the other.
+// Where some transactions get an error at any host, no host is to blame: none is barred for several of them in a row,
+// and such a transaction is not retried after errors of two hosts and does not count towards the share of its tenant.
+// Half of the good transactions had been rejected for them, and most of that tenant's. Hosts in zones that get no hops
+// do not show the usual error fraction: compared with them, hosts were barred all the same and the rest was overloaded
+// one by one.
 func Example_errorsOfTransactions() {
 	hosts := []logic.Host{readyHost(1, "a", 1), readyHost(2, "a", 1), readyHost(3, "a", 1)}
 	for id := range 9 {
@@ -885,7 +901,7 @@
 		gw.hopsByHost = map[logic.HostID]int{}
 		gw.receive(id, 0, id%2)
 		gw.advance(20 * ms)
-		if id%10 < 6 { // of both tenants alike
+		if id%10 < 6 { // fail at every host, as many of either tenant
 			for hopIndex := range 3 {
 				gw.endHop(id, hopIndex, logic.HopError, 2*ms)
 			}
@@ -900,8 +916,8 @@
 	// of 240 that could be served: 240
 }
 
-// Clients that read slowly hold the room for answers: theirs give way past their goal, where their host answers others far sooner, and
-// say nothing of it.
+// Clients that read slowly fill the response buffers. Their transactions end past their service goal, where the host
+// answers others far sooner, and say nothing about that host.
 func Example_slowReaders() {
 	gw := startGatewayWithRules(2, 0, logic.InformationSources{MaxListPollInterval: 10 * time.Second}, logic.CostModel{}, logic.DrainRule{},
 		logic.HopRule{MaxHops: 3, CallOff: true, MaxBufferedResponses: 8}, []logic.Profile{readProfile}, nil, readyHost(1, "a", 1), readyHost(2, "a", 1))
@@ -931,15 +947,16 @@
 	// hops: map[1:13 2:33]
 }
 
-// One of many gateways that learn of hosts by their own hops alone goes by what these took in its zone: it rolls back by chance what a
-// jammed zone would only hold, calls off what is out for long, and draws other hosts than where one is out or was slow.
+// One of many gateways without load information goes by the latencies of its own hops in its zone. Under congestion it
+// rejects transactions at random that would only wait, and calls off hops that take long; it avoids hosts where it has
+// a hop in flight or that were slow.
 func Example_noLoadInfo() {
 	gw := startGatewayAmong(400, 3, logic.InformationSources{MaxListPollInterval: 10 * time.Second}, []logic.Profile{readProfile}, nil,
 		readyHost(1, "a", 1), readyHost(2, "a", 1), readyHost(3, "a", 1), readyHost(4, "b", 1))
 	gw.quiet = true
 	id := 0
 	for phase, latency := range []time.Duration{80 * ms, 300 * ms, 80 * ms} {
-		for second := range []int{3, 3, 12}[phase] { // until the jam is over
+		for second := range []int{3, 3, 12}[phase] { // the last phase lasts until the congestion is over
 			gw.hopsByHost = map[logic.HostID]int{}
 			for range 10 {
 				id++
@@ -962,7 +979,7 @@
 	gw.endHop(1000, 1, logic.HopCalledOff, 200*ms)
 	gw.endHop(1001, 1, logic.HopCalledOff, 200*ms)
 	gw.advance(30 * time.Second)
-	gw.HostListReceived(gw.now, logic.ListComplete, []logic.Host{readyHost(4, "b", 1)}) // none is left in the own zone
+	gw.HostListReceived(gw.now, logic.ListComplete, []logic.Host{readyHost(4, "b", 1)}) // no host is left in the gateway's own zone
 	gw.receive(1002, 0, -1)
 	gw.HostListReceived(gw.now, logic.ListComplete, nil)
 	gw.receive(1003, 0, -1)
@@ -1007,13 +1024,13 @@
 	// 50600 tx 1003 rolled back, come back after 82
 }
 
-// Few gateways that see their own hops alone bear the less crowd at a host the more of them a zone has: each that went by its own
-// count sent as much as one alone might, and hosts turned slow one after the other.
+// Where a few gateways know only their own hops, the limit of each at a host is the lower the more gateways a zone has.
+// When each went by its own count it sent as much as a single gateway may, and hosts became slow one by one.
 func Example_fewGatewaysWithoutReports() {
 	for _, sources := range []logic.InformationSources{{MaxListPollInterval: 10 * time.Second}, {MaxListPollInterval: 10 * time.Second, ProbesReportLoad: true}} {
 		for _, gatewayCount := range []int{2, 4, 16} {
 			gw := startGatewayAmong(gatewayCount, 1, sources, []logic.Profile{readProfile}, nil, readyHost(1, "a", 1))
-			if sources.ProbesReportLoad { // a probe a second shows slots, and what others hold at that moment only
+			if sources.ProbesReportLoad { // a probe per second shows the slots, and what others have in flight at that moment only
 				gw.ProbeEnded(gw.now, 1, logic.LoadReport{InFlight: 3, Queued: 1, Utilization: -1, RequestsPerSecond: -1, LatencyMs: -1})
 			}
 			gw.runCommitted(1, 20, 0)
@@ -1034,8 +1051,9 @@
 	// probed: true gateways: 16 hops out at the host: 2
 }
 
-// Such a gateway keeps to few hosts of its zone, others of their own to each, and learns of them; one that makes no connection is left
-// to others for a while. With any of a hundred, each hop needed a new connection, and as these failed a quarter of all hops did.
+// A gateway without load information keeps to a few hosts of its zone, different ones for each gateway, and learns
+// about these. A host that accepts no connection is left to others for a while. When any of a hundred hosts was picked,
+// each hop needed a new connection, and as these failed a quarter of all hops did.
 func Example_noLoadInfoHostSubset() {
 	var hosts []logic.Host
 	for id := range 100 {
@@ -1071,8 +1089,9 @@
 	// hosts of the three: 13
 }
 
-// A process that replaces another begins with what that had learnt: times of profiles and kinds whatever their age, hosts that have not
-// started since, and breakers for as long as they bar, while that is news. What it has learnt by itself stays.
+// A process that replaces another starts with what that one had learned: values of profiles and host kinds at any age,
+// and, while they are recent, those of hosts that have not restarted since and of breakers for as long as these are
+// open. What it has learned by itself stays.
 func Example_learnedState() {
 	hosts := []logic.Host{readyHost(1, "a", 0), readyHost(2, "a", 1), readyHost(3, "a", 2)}
 	for i := range hosts {
@@ -1098,7 +1117,7 @@
 	for _, age := range []time.Duration{10 * ms, 5 * time.Second} {
 		gw := startGateway([]logic.Profile{readProfile, paymentProfile}, nil)
 		gw.advance(9*time.Second - gw.now)
-		moved := slices.Clone(hosts) // this clock reads other than that one, and host 3 has started anew
+		moved := slices.Clone(hosts) // the clocks of the processes differ, and host 3 has restarted
 		for i := range moved {
 			moved[i].StartedAt += gw.now - predecessor.now - age
 		}
@@ -1129,8 +1148,9 @@
 	// hops to host 2: true own stays: true
 }
 
-// A gateway that nobody answers draws by itself at once after a while, and asks once a second whether that has changed: for as long as
-// gateways were cut off from each other each transaction had waited its time for nothing. Heard again, it asks the first one as before.
+// A gateway that gets no response to its pick requests picks at once by itself after a while, and sends one request per
+// second to see whether that has changed. While gateways were cut off from each other, each transaction had waited for
+// the timeout in vain. After a response the gateway requests picks from the first coordinator as before.
 func Example_unresponsivePeers() {
 	gw := startGatewayAmong(300, 100, logic.InformationSources{PeersShareInFlight: true, MaxListPollInterval: 10 * time.Second}, []logic.Profile{longGoalReadProfile}, nil, readyHost(1, "a", 0), readyHost(2, "a", 1))
 	waiting, requested := 0, 0
@@ -1169,9 +1189,10 @@
 	// 10000 tell 0: asks, host 0, 0 hops
 }
 
-// A request waits for another gateway's draw only where such answers come within a quarter of its goal. Where they are late, as on a slow way
-// or at a gateway that so many ask that it has no processor time left for its own clients, requests are sent on at once, and one ask a second,
-// for which none waits, finds out when answers are quick again.
+// A request waits for a remote pick only where responses come within a quarter of its service goal. Where they are
+// late, as over a slow network or at a coordinator with so many pick requests that it has no processor time left for
+// its own clients, requests are sent on at once, and one pick request per second, for which none waits, finds out when
+// responses are fast again.
 func Example_slowRemotePicks() {
 	const gatewayCount, gatewayIndex, goal = 300, 100, 200 * ms
 	profile := readProfile
--- a/logic/retry_test.go
+++ b/logic/retry_test.go
@@ -8,12 +8,13 @@
 	"spanmux/logic"
 )
 
-// retryGateway counts what a gateway sends beyond each transaction's first hop, and when.
+// retryGateway is a testGateway that records when transactions were received and retries sent. A retry is a hop beyond
+// the first of its transaction.
 type retryGateway struct {
 	*testGateway
 	receivedAt       []time.Duration
 	retriedAt        []time.Duration
-	retriesByProfile map[int]int // further hops by profile
+	retriesByProfile map[int]int
 	profileByTx      map[logic.TxID]int
 	hopsByTx         map[logic.TxID]int
 	pendingHops      []logic.TxID
@@ -27,7 +28,7 @@
 	gw.pendingHops = append(gw.pendingHops, id)
 }
 
-// startRetryGateway begins a gateway with six hosts; every hop there ends as it is told.
+// startRetryGateway starts a gateway with six hosts. How hops there end is up to run.
 func startRetryGateway(gatewayCount int, budget logic.RetryBudget) *retryGateway {
 	gw := &retryGateway{testGateway: &testGateway{now: time.Second, hopsByHost: map[logic.HostID]int{}, quiet: true}, retriesByProfile: map[int]int{},
 		profileByTx: map[logic.TxID]int{}, hopsByTx: map[logic.TxID]int{}}
@@ -43,7 +44,7 @@
 	return gw
 }
 
-// run takes transactions of a profile one after the other; each of their hops ends so.
+// run receives transactions of a profile at an interval. All of their hops end with the same outcome.
 func (gw *retryGateway) run(count, profile int, interval time.Duration, outcome logic.HopOutcome) {
 	for range count {
 		id := logic.TxID(len(gw.receivedAt) + 1)
@@ -58,7 +59,7 @@
 	}
 }
 
-// maxExcess is by how much the further hops of any window went over what the rule allows at its last one.
+// maxExcess returns by how many retries the budget was exceeded, at most, over the windows that end with a retry.
 func (gw *retryGateway) maxExcess(budget logic.RetryBudget) (excess float64) {
 	for i, windowEnd := range gw.retriedAt {
 		retries, received := 0.0, 0.0
@@ -77,9 +78,10 @@
 	return excess
 }
 
-// A host that takes no connection, or an answer that is an error, sent each transaction on to up to four more hosts: 17 further hops
-// within 5 s where 137 transactions taken allow 16.9 (accra-matdb, rough-2, broken at 18.52 s). Every window of the span has to hold,
-// after a busy time that ends, at the start, and through a change of traffic.
+// A host that accepts no connection, or a response that is an error, had each transaction retried at up to four more
+// hosts: 17 retries within 5 s where 137 transactions received allow 16.9 (accra-matdb, rough-2, exceeded at 18.52 s).
+// The budget must hold in every window of its length: after a busy period, at the start, and through a change of
+// traffic.
 func TestRetryBudget(t *testing.T) {
 	for _, budget := range []logic.RetryBudget{
 		{BaseRetries: 10, RetriesPerTransaction: 0.05, Window: 5 * time.Second}, {BaseRetries: 0, RetriesPerTransaction: 0.5, Window: time.Second},
@@ -105,7 +107,7 @@
 	}
 }
 
-// Where nothing is stated few gateways send on as before: the budget must not act at other deployments.
+// Where no budget is configured a few gateways retry without one, so that the budget does not act on other deployments.
 func TestRetriesWithoutConfiguredBudget(t *testing.T) {
 	gw := startRetryGateway(3, logic.RetryBudget{})
 	gw.run(20, 0, 50*ms, logic.HopNoConnection)
@@ -114,7 +116,8 @@
 	}
 }
 
-// House term: no profile uses up what another needs seconds later. Reads that find no connection anywhere leave payments their part.
+// No profile may use up the retries that another needs seconds later, a rule beyond the configured budget: reads that
+// find no connection at any host leave payments their part.
 func Example_retryBudgetReservedByProfile() {
 	gw := startRetryGateway(3, logic.RetryBudget{BaseRetries: 10, RetriesPerTransaction: 0.1, Window: 5 * time.Second})
 	gw.run(20, 0, 10*ms, logic.HopCommitted)
--- a/logic/rulechecker_test.go
+++ b/logic/rulechecker_test.go
@@ -8,7 +8,8 @@
 	"spanmux/logic"
 )
 
-// ruleChecker plays a gateway's world by chance and holds the gateway to what must never happen, whatever comes and in whatever order.
+// ruleChecker feeds a Balancer with random events. As its Executor it checks the rules that must hold whatever happens,
+// in whatever order, and counts violations.
 type ruleChecker struct {
 	*logic.Balancer
 	now        time.Duration
@@ -18,20 +19,23 @@
 	violations map[string]int
 }
 
+// checkedTx is what ruleChecker knows of a transaction.
 type checkedTx struct {
 	profile       logic.Profile
 	hops          []logic.Host
-	hopsInFlight  int // hops without an outcome
+	hopsInFlight  int // hops without an outcome yet
 	possiblyRanOn *logic.Host
 	answered      bool
 }
 
+// check counts a violation of a rule unless it is satisfied.
 func (c *ruleChecker) check(rule string, satisfied bool) {
 	if !satisfied {
 		c.violations[rule]++
 	}
 }
 
+// checkFinalAnswer checks that an answer is the only one, and that nothing is rolled back that may have run.
 func (c *ruleChecker) checkFinalAnswer(id logic.TxID, rolledBack bool) {
 	t := c.txs[id]
 	c.check("a second final answer", t != nil && !t.answered)
@@ -65,12 +69,14 @@
 func (c *ruleChecker) SetTimer(delay time.Duration)            { c.timers = append(c.timers, c.now+delay) }
 func (c *ruleChecker) Log(string)                              {}
 
+// hostWithID returns a ready host whose zone, kind and cell depend on its ID.
 func hostWithID(id logic.HostID) logic.Host {
 	return logic.Host{ID: id, Zone: string('a' + rune(id%3)), Kind: []string{"box", "tower"}[id%2], Cell: int(id % 4), State: logic.HostReady, CapacityHint: 1}
 }
 
-// Whatever comes, in each shape of deployment: hosts that come, drain, go and return by zones, outcomes of all kinds, late, twice and
-// out of order, lists lost, clients that leave. A zone left without a host stopped the program once.
+// The rules hold in every kind of deployment, whatever happens: hosts that are added, drain, go and return, by whole
+// zones too; hops with all outcomes, late, repeated and out of order; failed lists; clients that leave. A zone without
+// a host had crashed the program.
 func Example_randomizedRuleChecks() {
 	zoneDedupOrder := orderProfile
 	zoneDedupOrder.DedupScope, zoneDedupOrder.DedupWindow = logic.DedupSameZone, time.Minute
@@ -105,6 +111,9 @@
 	// false false false 1 gateways: 300 taken: true wrong: map[]
 }
 
+// randomStep lets up to 40 ms pass and has one random event happen: the host list changes, shrinks to one zone or
+// fails, a probe ends, a transaction arrives, or, of one of the last transactions, a hop ends or is reported once more,
+// or the client leaves.
 func (c *ruleChecker) randomStep(random *rand.Rand, received *int) {
 	c.now += time.Duration(random.IntN(40)) * ms
 	for len(c.timers) > 0 && c.timers[0] <= c.now {
@@ -122,7 +131,7 @@
 		c.hostStates[id] = h.State
 		c.HostListReceived(c.now, logic.ListChanges, []logic.Host{h})
 	case 1:
-		if zone := random.IntN(4); zone < 3 && random.IntN(4) == 0 { // a zone, and no other host
+		if zone := random.IntN(4); zone < 3 && random.IntN(4) == 0 { // a list of the hosts of a single zone
 			c.hostStates = map[logic.HostID]logic.HostState{}
 			var zoneHosts []logic.Host
 			for id := logic.HostID(1 + zone); id < 10; id += 3 {
@@ -153,7 +162,7 @@
 			return
 		}
 		hopIndex := random.IntN(len(t.hops))
-		if t.hops[hopIndex].ID == 0 { // told already, and now twice
+		if t.hops[hopIndex].ID == 0 { // has ended already: its end is reported once more
 			c.HopEnded(c.now, txID, hopIndex, logic.HopResult{Outcome: logic.HopError, Load: logic.NoLoadReport}, t.answered)
 			return
 		}
--- a/logic/testgateway_test.go
+++ b/logic/testgateway_test.go
@@ -11,15 +11,16 @@
 
 const ms = time.Millisecond
 
-// testGateway plays a gateway and prints what it wants done, each line with the time in milliseconds.
+// testGateway runs a Balancer in virtual time. As its Executor it records what the Balancer does, one line each, with
+// the time in milliseconds.
 type testGateway struct {
 	*logic.Balancer
 	now             time.Duration
 	timers          []time.Duration
 	hopsByHost      map[logic.HostID]int
-	lastHost        logic.HostID // where the last hop went
+	lastHost        logic.HostID // of the last hop
 	listRequestedAt time.Duration
-	quiet           bool // prints nothing of hops and answers, but counts them
+	quiet           bool // records log lines only; hops are still counted by host
 	lines           strings.Builder
 }
 
@@ -30,22 +31,26 @@
 	paymentProfile = logic.Profile{Name: "payment", Effect: logic.NonIdempotent, ServiceGoal: 400 * ms, Revenue: 1}
 )
 
-// startGateway begins a scene at one second, in zone a of a and b, as the first of two gateways that do not tell.
+// startGateway starts a gateway at time 1 s in zone a of zones a and b, the first of two gateways that exchange no peer
+// messages.
 func startGateway(profiles []logic.Profile, tenants []logic.Tenant, hosts ...logic.Host) *testGateway {
 	return startGatewayAmong(2, 0, logic.InformationSources{MaxListPollInterval: 10 * time.Second}, profiles, tenants, hosts...)
 }
 
+// startGatewayAmong starts one of several gateways, with the given sources of information.
 func startGatewayAmong(gatewayCount, gatewayIndex int, sources logic.InformationSources, profiles []logic.Profile, tenants []logic.Tenant,
 	hosts ...logic.Host) *testGateway {
 	return startGatewayWithCosts(gatewayCount, gatewayIndex, sources, logic.CostModel{CrossZoneHop: 0.05}, profiles, tenants, hosts...)
 }
 
+// startGatewayWithCosts is startGatewayAmong with a cost model.
 func startGatewayWithCosts(gatewayCount, gatewayIndex int, sources logic.InformationSources, costModel logic.CostModel, profiles []logic.Profile,
 	tenants []logic.Tenant, hosts ...logic.Host) *testGateway {
 	return startGatewayWithRules(gatewayCount, gatewayIndex, sources, costModel, logic.DrainRule{}, logic.HopRule{MaxHops: 3, CallOff: true, MaxRetryAfter: time.Second},
 		profiles, tenants, hosts...)
 }
 
+// startGatewayWithRules is startGatewayWithCosts with rules for draining hosts and for hops.
 func startGatewayWithRules(gatewayCount, gatewayIndex int, sources logic.InformationSources, costModel logic.CostModel, drainRule logic.DrainRule, hopRule logic.HopRule,
 	profiles []logic.Profile, tenants []logic.Tenant, hosts ...logic.Host) *testGateway {
 	gw := &testGateway{now: time.Second, hopsByHost: map[logic.HostID]int{}}
@@ -57,6 +62,7 @@
 	return gw
 }
 
+// readyHost returns a ready host of kind box that has run for long.
 func readyHost(id logic.HostID, zone string, cell int) logic.Host {
 	return logic.Host{ID: id, Zone: zone, Kind: "box", Cell: cell, State: logic.HostReady}
 }
@@ -90,11 +96,13 @@
 func (gw *testGateway) RequestHostList()             { gw.listRequestedAt = gw.now; gw.record("ask for the list") }
 func (gw *testGateway) SetTimer(delay time.Duration) { gw.timers = append(gw.timers, gw.now+delay) }
 func (gw *testGateway) Log(line string)              { fmt.Fprintf(&gw.lines, "%d log: %s\n", gw.now/ms, line) }
+
+// receive has a transaction arrive with a budget of one second. The tenant is -1 for none.
 func (gw *testGateway) receive(id, profile, tenant int) {
 	gw.TransactionReceived(gw.now, logic.TxID(id), logic.Arrival{ProfileIndex: profile, TenantIndex: tenant, Budget: time.Second})
 }
 
-// advance lets time pass, with the timers that fall due.
+// advance lets time pass, and fires the timers that are due meanwhile.
 func (gw *testGateway) advance(d time.Duration) *testGateway {
 	for until := gw.now + d; ; {
 		slices.Sort(gw.timers)
@@ -107,12 +115,13 @@
 	}
 }
 
+// endHop ends a hop without a load report. A transaction has its final answer once a hop is committed.
 func (gw *testGateway) endHop(id, hopIndex int, outcome logic.HopOutcome, latency time.Duration) {
 	result := logic.HopResult{Outcome: outcome, Latency: latency, Load: logic.NoLoadReport}
 	gw.HopEnded(gw.now, logic.TxID(id), hopIndex, result, outcome == logic.HopCommitted)
 }
 
-// runCommitted plays n transactions that are answered one after the other, each after 60 ms, without a word.
+// runCommitted runs count transactions one after the other, each committed after 60 ms, and records only log lines.
 func (gw *testGateway) runCommitted(first, count, profile int) {
 	gw.quiet = true
 	for id := first; id < first+count; id++ {
--- a/logic/wronglist_test.go
+++ b/logic/wronglist_test.go
@@ -7,8 +7,9 @@
 	"spanmux/logic"
 )
 
-// hopsAfterWrongList plays a gateway whose list calls all hosts gone, or leaves them out, while they answer as ever, and returns the hops after that. The
-// first host stops answering then in earnest.
+// hopsAfterWrongList returns the hops by host of a gateway whose list calls all hosts gone, or leaves them out, while
+// they still answer, except for host 1, which accepts no connection from then on. If firstHostState is HostDraining, a
+// list says before that host 1 drains.
 func hopsAfterWrongList(allowGoneHosts bool, kind logic.ListKind, firstHostState logic.HostState) map[logic.HostID]int {
 	hosts := []logic.Host{readyHost(1, "a", 0), readyHost(2, "a", 0), readyHost(3, "a", 0), readyHost(4, "a", 0)}
 	gw := startGatewayWithRules(60, 3, logic.InformationSources{MaxListPollInterval: 10 * time.Second}, logic.CostModel{}, logic.DrainRule{AllowGoneHosts: allowGoneHosts},
@@ -43,8 +44,8 @@
 	return gw.hopsByHost
 }
 
-// A list called all thirty hosts gone while they answered, and for nine seconds a gateway that believed it rolled all back (ieafa53). Where only
-// drains bind, a list proves nothing of what runs: own hops do.
+// A list called all thirty hosts gone while they still answered, and a gateway that believed it rolled everything back
+// for nine seconds (ieafa53). With DrainRule.AllowGoneHosts a list does not prove what runs: own hops do.
 func TestGoneHostsThatAnswerAreStillUsed(t *testing.T) {
 	for _, kind := range []logic.ListKind{logic.ListChanges, logic.ListComplete} {
 		hops := hopsAfterWrongList(true, kind, logic.HostReady)
@@ -54,7 +55,8 @@
 	}
 }
 
-// The look-alikes: where being gone binds nothing goes there, and a host that drained first gets nothing either way.
+// The counterpart: without AllowGoneHosts a host that is gone gets no hops, and with it one that was draining before it
+// was gone gets none either.
 func TestGoneAndDrainingHostsGetNoHops(t *testing.T) {
 	for _, kind := range []logic.ListKind{logic.ListChanges, logic.ListComplete} {
 		if hops := hopsAfterWrongList(false, kind, logic.HostReady); len(hops) > 0 {
