--- a/logic/bench_test.go
+++ b/logic/bench_test.go
@@ -58,6 +58,6 @@
 		runTransaction(500 + i)
 	}
 	if committed-before < b.N*9/10 {
-		b.Fatalf("%d of %d committed: the gateway gave up, so nothing was measured", committed-before, b.N)
+		b.Fatalf("%d of %d committed: the others were rejected, so the time is not that of a decision", committed-before, b.N)
 	}
 }
--- a/logic/idlehost_test.go
+++ b/logic/idlehost_test.go
@@ -53,7 +53,7 @@
 			gw.HopEnded(gw.now, logic.TxID(id), 0, logic.HopResult{Outcome: logic.HopCommitted, Latency: 20 * ms, Load: load}, true)
 		}
 	}
-	fmt.Println("hops to hosts that tell nothing, over 200:", gw.hopsByHost[2]+gw.hopsByHost[3] > 200)
+	fmt.Println("hops to hosts without load reports, over 200:", gw.hopsByHost[2]+gw.hopsByHost[3] > 200)
 	// Output:
-	// hops to hosts that tell nothing, over 200: true
+	// hops to hosts without load reports, over 200: true
 }
--- a/logic/largefleet_test.go
+++ b/logic/largefleet_test.go
@@ -38,7 +38,7 @@
 	gw := startLargeCoordinator()
 	gw.sendPickRequests(100)
 	if allocations := testing.AllocsPerRun(200, func() { gw.sendPickRequests(1) }); allocations > maxAllocationsPerPick {
-		t.Errorf("%.0f allocations for an ask", allocations)
+		t.Errorf("%.0f allocations for a pick request", allocations)
 	}
 }
 
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -24,7 +24,7 @@
 	// Output:
 	// 1000 tx 1 hop to 2 for 395
 	// 1000 tx 1 hop to 1 for 395
-	// 1000 tx 1 rolled back, come back after 100
+	// 1000 tx 1 rolled back, retry after 100
 	// 1000 tx 2 hop to 2 for 395
 	// 1000 tx 2 abandoned
 }
@@ -71,11 +71,11 @@
 	// 1000 tx 8 hop to 1 for 1000
 	// 1000 tx 9 hop to 1 for 1000
 	// 1000 tx 10 hop to 1 for 1000
-	// 1000 tx 11 rolled back, come back after 100
-	// 1000 tx 12 rolled back, come back after 100
-	// 1000 tx 13 rolled back, come back after 100
-	// 1000 tx 14 rolled back, come back after 100
-	// 1000 tx 15 rolled back, come back after 100
+	// 1000 tx 11 rolled back, retry after 100
+	// 1000 tx 12 rolled back, retry after 100
+	// 1000 tx 13 rolled back, retry after 100
+	// 1000 tx 14 rolled back, retry after 100
+	// 1000 tx 15 rolled back, retry after 100
 	// hops: map[1:10]
 }
 
@@ -90,7 +90,7 @@
 	gw.printLines()
 	// Output:
 	// 2800 tx 31 hop to 1 for 1000
-	// 2800 tx 31 rolled back, come back after 60
+	// 2800 tx 31 rolled back, retry after 60
 	// 2800 tx 32 hop to 1 for 1000
 }
 
@@ -133,10 +133,10 @@
 	// Output:
 	// 1000 tx 1 hop to 1 for 1000
 	// 1000 tx 2 hop to 1 for 1000
-	// 1100 release 1
-	// 1100 release 1
-	// 1100 release 1
-	// 1200 release 1
+	// 1100 close idle connections to 1
+	// 1100 close idle connections to 1
+	// 1100 close idle connections to 1
+	// 1200 close idle connections to 1
 	// 1000 tx 1 hop to 1 for 1000
 	// 1000 tx 2 hop to 1 for 1000
 }
@@ -203,7 +203,7 @@
 	// 1000 tx 2 hop to 1 for 1000
 	// 1000 tx 3 hop to 3 for 1000
 	// 1395 tx 1 abandoned
-	// 1395 tx 4 rolled back, come back after 395
+	// 1395 tx 4 rolled back, retry after 395
 }
 
 // A failed request for the host list is repeated after random delays that grow. A thousand gateways spread their
@@ -225,10 +225,10 @@
 	fmt.Println(requestsBySecond)
 	// Output:
 	// 1000 log: list lost, 1 times in a row
-	// 1088 ask for the list
-	// 1733 ask for the list
+	// 1088 request host list
+	// 1733 request host list
 	// 5000 log: list lost, 2 times in a row
-	// 6249 ask for the list
+	// 6249 request host list
 	// [204 206 195 198 197]
 }
 
@@ -339,15 +339,15 @@
 	gw.receive(20, 0, -1)
 	gw.printLines()
 	// Output:
-	// 1000 tell 0: asks, host 0, 0 hops
+	// 1000 peer message to 0: pick request, host 0, 0 hops
 	// 1000 tx 1 hop to 2 for 1000
-	// 1010 tell 0: out, host 2, 1 hops
-	// 1030 tell 0: ended, host 2, 2 hops
-	// 1030 tell 0: out, host 2, 0 hops
-	// 1040 tell 0: asks, host 0, 0 hops
-	// 1040 tx 2 rolled back, come back after 13
-	// 1050 tell 0: out, host 1, 0 hops
-	// 1580 tell 2: asks, host 0, 0 hops
+	// 1010 peer message to 0: in flight, host 2, 1 hops
+	// 1030 peer message to 0: hop ended, host 2, 2 hops
+	// 1030 peer message to 0: in flight, host 2, 0 hops
+	// 1040 peer message to 0: pick request, host 0, 0 hops
+	// 1040 tx 2 rolled back, retry after 13
+	// 1050 peer message to 0: in flight, host 1, 0 hops
+	// 1580 peer message to 2: pick request, host 0, 0 hops
 }
 
 // A zone coordinator spreads the transactions of all gateways that request picks, and counts each hop as in flight from
@@ -362,12 +362,12 @@
 	}
 	gw.printLines()
 	// Output:
-	// 2220 tell 2: answer, host 1, 0 hops
-	// 2220 tell 1: sum, host 1, 1 hops
-	// 2220 tell 1: sum, host 2, 0 hops
-	// 2220 tell 3: answer, host 1, 1 hops
-	// 2220 tell 4: answer, host 2, 0 hops
-	// 2220 tell 5: answer, host 2, 1 hops
+	// 2220 peer message to 2: pick response, host 1, 0 hops
+	// 2220 peer message to 1: aggregate, host 1, 1 hops
+	// 2220 peer message to 1: aggregate, host 2, 0 hops
+	// 2220 peer message to 3: pick response, host 1, 1 hops
+	// 2220 peer message to 4: pick response, host 2, 0 hops
+	// 2220 peer message to 5: pick response, host 2, 1 hops
 }
 
 // A thousand gateways with a transaction each, ten for every warm host, send fewer than ten to the cold host.
@@ -399,12 +399,12 @@
 			gw.advance(latency)
 			gw.endHop(id, 0, logic.HopTimedOut, latency)
 		}
-		fmt.Printf("time-outs after %s:\n", latency)
+		fmt.Printf("timeouts after %s:\n", latency)
 		gw.printLines()
 	}
 	// Output:
-	// time-outs after 110ms:
-	// time-outs after 300ms:
+	// timeouts after 110ms:
+	// timeouts after 300ms:
 	// 3700 log: host 1, all profiles: breaker open true
 	// 3700 log: host 1, read: breaker open true
 }
@@ -423,7 +423,7 @@
 	fmt.Println("all at once:", gw.hopsByHost)
 	// Output:
 	// 2200 tx 100 hop to 1 for 1000
-	// 2200 tx 111 rolled back, come back after 60
+	// 2200 tx 111 rolled back, retry after 60
 	// all at once: map[1:3 2:3]
 }
 
@@ -442,7 +442,7 @@
 	gw.receive(200, 1, -1)
 	gw.printLines()
 	// Output:
-	// 4600 tx 115 rolled back, come back after 60
+	// 4600 tx 115 rolled back, retry after 60
 	// 4600 tx 200 hop to 1 for 395
 }
 
@@ -462,7 +462,7 @@
 	gw.printLines()
 	// Output:
 	// 4840 tx 2000 hop to 1 for 1000
-	// 4840 tx 2001 rolled back, come back after 16
+	// 4840 tx 2001 rolled back, retry after 16
 }
 
 // A host that was slow while it was cold is hardly picked at first, and picked again some time later.
@@ -499,12 +499,12 @@
 	gw.printLines()
 	// Output:
 	// 1060 tx 10 hop to 1 for 395
-	// 1060 tx 10 rolled back, come back after 100
+	// 1060 tx 10 rolled back, retry after 100
 	// 1120 tx 11 hop to 1 for 395
-	// 1120 tx 11 rolled back, come back after 100
+	// 1120 tx 11 rolled back, retry after 100
 	// 1180 tx 12 hop to 1 for 395
 	// 1180 log: host 1, order: breaker open true
-	// 1180 tx 12 rolled back, come back after 100
+	// 1180 tx 12 rolled back, retry after 100
 }
 
 // Under congestion every answer is slow. That must not raise the threshold over which transactions are rejected.
@@ -579,7 +579,7 @@
 	// Output:
 	// gateways by host: map[1:106 3:108 5:86]
 	// hosts for a hundred a second: 6
-	// 11662 release 1
+	// 11662 close idle connections to 1
 }
 
 // Hops in flight that hosts report count there. Over the concurrency limit, which hops in flight divided by utilization
@@ -600,14 +600,14 @@
 		}
 		gw.quiet = false
 		gw.receive(21, 0, -1)
-		fmt.Println("hosts that hold", inFlight)
+		fmt.Println("reported in flight:", inFlight)
 		gw.printLines()
 	}
 	// Output:
-	// hosts that hold 2
+	// reported in flight: 2
 	// 2200 tx 21 hop to 1 for 1000
-	// hosts that hold 30
-	// 2200 tx 21 rolled back, come back after 59
+	// reported in flight: 30
+	// 2200 tx 21 rolled back, retry after 59
 }
 
 // As traffic rises, utilization lags behind the hops in flight: at 40 hops reported with a third of the cores in use a
@@ -623,7 +623,7 @@
 	gw.receive(1, 0, -1)
 	gw.printLines()
 	// Output:
-	// 1400 tx 1 rolled back, come back after 100
+	// 1400 tx 1 rolled back, retry after 100
 }
 
 // Reports of hops in flight are some time old, and clients retry at once. After a second in which hosts were full,
@@ -684,7 +684,7 @@
 	// 4800 probe 7
 	// 4800 probe 2
 	// 4800 tx 31 hop to 7 for 1000
-	// 5800 release 7
+	// 5800 close idle connections to 7
 	// 5800 tx 31 abandoned
 	// 7800 probe 7
 	// 7800 probe 2
@@ -742,7 +742,7 @@
 	// 1000 tx 1 hop to 1 for 1000
 	// 1000 tx 1 hop to 2 for 1000
 	// 1000 probe 1
-	// 1000 tx 2 rolled back, come back after 100
+	// 1000 tx 2 rolled back, retry after 100
 	// 1060 probe 2
 	// 1060 tx 3 hop to 2 for 1000
 	// 1060 tx 4 hop to 2 for 1000
@@ -750,7 +750,7 @@
 	// 1720 probe 1
 	// 1720 tx 5 hop to 2 for 155
 	// 1720 probe 2
-	// 1720 tx 6 rolled back, come back after 59
+	// 1720 tx 6 rolled back, retry after 59
 }
 
 // The host of a popular affinity key is avoided while it works on far more than others, by its reported rate and
@@ -807,7 +807,7 @@
 	// 2800 tx 2 hop to 3 for 395
 	// 2800 tx 4 hop to 1 for 1000
 	// 2800 tx 4 hop to 3 for 1000
-	// 2800 tx 4 rolled back, come back after 0
+	// 2800 tx 4 rolled back, retry after 0
 }
 
 // A transaction whose body is still arriving is no work for its host yet: no others are rejected for it. From its last
@@ -838,8 +838,8 @@
 	// 2800 tx 57 hop to 1 for 600
 	// 2800 tx 58 hop to 1 for 600
 	// 5800 tx 60 hop to 1 for 1000
-	// 5800 tx 61 rolled back, come back after 60
-	// 6300 tx 51 rolled back, come back after 60
+	// 5800 tx 61 rolled back, retry after 60
+	// 6300 tx 51 rolled back, retry after 60
 }
 
 // Live capacity hints tell all gateways the same about what hosts had in flight some time ago. If each took the least
@@ -872,16 +872,16 @@
 				gw.endHop(id, 0, logic.HopCommitted, latency)
 			}
 		}
-		fmt.Println("held for each core:", inFlightPerCore, "hops of 100:", gw.hopsByHost)
+		fmt.Println("in flight per core:", inFlightPerCore, "hops of 100:", gw.hopsByHost)
 	}
 	// Output:
-	// held for each core: [0 0 0 0] hops of 100: map[1:39 2:32 3:29]
-	// held for each core: [0 0 0 0] hops of 100: map[1:36 2:43 3:21]
-	// held for each core: [4 0 0 0] hops of 100: map[1:26 2:32 3:27 4:15]
-	// held for each core: [0 0 0 0] hops of 100: map[1:28 2:28 3:42 4:2]
-	// held for each core: [3 3 3 0] hops of 100: map[1:30 2:16 3:45 4:9]
-	// held for each core: [0 0 0 0] hops of 100: map[1:30 2:26 3:42 4:2]
-	// held for each core: [5 5 5 5] hops of 100: map[1:3 2:5 3:3]
+	// in flight per core: [0 0 0 0] hops of 100: map[1:39 2:32 3:29]
+	// in flight per core: [0 0 0 0] hops of 100: map[1:36 2:43 3:21]
+	// in flight per core: [4 0 0 0] hops of 100: map[1:26 2:32 3:27 4:15]
+	// in flight per core: [0 0 0 0] hops of 100: map[1:28 2:28 3:42 4:2]
+	// in flight per core: [3 3 3 0] hops of 100: map[1:30 2:16 3:45 4:9]
+	// in flight per core: [0 0 0 0] hops of 100: map[1:30 2:26 3:42 4:2]
+	// in flight per core: [5 5 5 5] hops of 100: map[1:3 2:5 3:3]
 }
 
 // Where some transactions get an error at any host, no host is to blame: none is barred for several of them in a row,
@@ -938,9 +938,9 @@
 	// 2260 tx 101 hop to 1 for 1000
 	// 2320 tx 102 hop to 1 for 1000
 	// 2380 tx 103 hop to 2 for 1000
-	// 2720 tx 102 rolled back, come back after 0
+	// 2720 tx 102 rolled back, retry after 0
 	// 2720 tx 102 call off hop 0
-	// 2780 tx 103 rolled back, come back after 0
+	// 2780 tx 103 rolled back, retry after 0
 	// 2780 tx 103 call off hop 0
 	// 2840 tx 100 hop to 1 for 360
 	// 2840 tx 101 hop to 2 for 420
@@ -966,7 +966,7 @@
 					gw.endHop(id, 0, logic.HopCommitted, latency)
 				}
 			}
-			fmt.Println("answers take", latency, "second", second, "hops:", gw.hopsByHost)
+			fmt.Println("latency", latency, "second", second, "hops:", gw.hopsByHost)
 		}
 	}
 	gw.quiet = false
@@ -985,24 +985,24 @@
 	gw.receive(1003, 0, -1)
 	gw.printLines()
 	// Output:
-	// answers take 80ms second 0 hops: map[1:1 2:4 3:5]
-	// answers take 80ms second 1 hops: map[1:5 2:1 3:4]
-	// answers take 80ms second 2 hops: map[1:5 2:2 3:3]
-	// answers take 300ms second 0 hops: map[1:2 2:1 3:3]
-	// answers take 300ms second 1 hops: map[]
-	// answers take 300ms second 2 hops: map[2:1]
-	// answers take 80ms second 0 hops: map[]
-	// answers take 80ms second 1 hops: map[]
-	// answers take 80ms second 2 hops: map[2:3]
-	// answers take 80ms second 3 hops: map[2:6 3:2]
-	// answers take 80ms second 4 hops: map[2:6 3:4]
-	// answers take 80ms second 5 hops: map[1:1 2:4 3:5]
-	// answers take 80ms second 6 hops: map[1:2 2:3 3:5]
-	// answers take 80ms second 7 hops: map[1:3 2:5 3:2]
-	// answers take 80ms second 8 hops: map[1:4 2:5 3:1]
-	// answers take 80ms second 9 hops: map[1:4 2:3 3:3]
-	// answers take 80ms second 10 hops: map[1:3 2:3 3:4]
-	// answers take 80ms second 11 hops: map[1:4 2:2 3:4]
+	// latency 80ms second 0 hops: map[1:1 2:4 3:5]
+	// latency 80ms second 1 hops: map[1:5 2:1 3:4]
+	// latency 80ms second 2 hops: map[1:5 2:2 3:3]
+	// latency 300ms second 0 hops: map[1:2 2:1 3:3]
+	// latency 300ms second 1 hops: map[]
+	// latency 300ms second 2 hops: map[2:1]
+	// latency 80ms second 0 hops: map[]
+	// latency 80ms second 1 hops: map[]
+	// latency 80ms second 2 hops: map[2:3]
+	// latency 80ms second 3 hops: map[2:6 3:2]
+	// latency 80ms second 4 hops: map[2:6 3:4]
+	// latency 80ms second 5 hops: map[1:1 2:4 3:5]
+	// latency 80ms second 6 hops: map[1:2 2:3 3:5]
+	// latency 80ms second 7 hops: map[1:3 2:5 3:2]
+	// latency 80ms second 8 hops: map[1:4 2:5 3:1]
+	// latency 80ms second 9 hops: map[1:4 2:3 3:3]
+	// latency 80ms second 10 hops: map[1:3 2:3 3:4]
+	// latency 80ms second 11 hops: map[1:4 2:2 3:4]
 	// 4395 log: 1 transactions rejected on arrival in the last second
 	// 5395 log: 7 transactions rejected on arrival in the last second
 	// 6395 log: 9 transactions rejected on arrival in the last second
@@ -1018,10 +1018,10 @@
 	// 19600 tx 1001 hop to 1 for 400
 	// 19800 tx 1000 call off hop 1
 	// 19800 tx 1001 call off hop 1
-	// 20600 tx 1000 rolled back, come back after 82
-	// 20600 tx 1001 rolled back, come back after 82
+	// 20600 tx 1000 rolled back, retry after 82
+	// 20600 tx 1001 rolled back, retry after 82
 	// 50600 tx 1002 hop to 4 for 1000
-	// 50600 tx 1003 rolled back, come back after 82
+	// 50600 tx 1003 rolled back, retry after 82
 }
 
 // Where a few gateways know only their own hops, the limit of each at a host is the lower the more gateways a zone has.
@@ -1039,16 +1039,16 @@
 			for id := range 9 {
 				gw.receive(100+id, 0, -1)
 			}
-			fmt.Println("probed:", sources.ProbesReportLoad, "gateways:", gatewayCount, "hops out at the host:", gw.hopsByHost[1]-before)
+			fmt.Println("probed:", sources.ProbesReportLoad, "gateways:", gatewayCount, "hops in flight at the host:", gw.hopsByHost[1]-before)
 		}
 	}
 	// Output:
-	// probed: false gateways: 2 hops out at the host: 3
-	// probed: false gateways: 4 hops out at the host: 2
-	// probed: false gateways: 16 hops out at the host: 1
-	// probed: true gateways: 2 hops out at the host: 4
-	// probed: true gateways: 4 hops out at the host: 3
-	// probed: true gateways: 16 hops out at the host: 2
+	// probed: false gateways: 2 hops in flight at the host: 3
+	// probed: false gateways: 4 hops in flight at the host: 2
+	// probed: false gateways: 16 hops in flight at the host: 1
+	// probed: true gateways: 2 hops in flight at the host: 4
+	// probed: true gateways: 4 hops in flight at the host: 3
+	// probed: true gateways: 16 hops in flight at the host: 2
 }
 
 // A gateway without load information keeps to a few hosts of its zone, different ones for each gateway, and learns
@@ -1127,7 +1127,7 @@
 		imported := gw.ExportLearned(gw.now)
 		fmt.Println("age", age, "profile:", imported.Profiles[0] == learned.Profiles[0], "kind:", imported.Kinds[0] == learned.Kinds[0])
 		for i, h := range imported.Hosts {
-			fmt.Println("host", h.ID, "pace:", h.ServiceTimeRatio == learned.Hosts[i].ServiceTimeRatio, "barred:", h.BreakerOpenFor > 0)
+			fmt.Println("host", h.ID, "service time ratio:", h.ServiceTimeRatio == learned.Hosts[i].ServiceTimeRatio, "barred:", h.BreakerOpenFor > 0)
 		}
 		gw.runCommitted(0, 20, 0)
 		ownProfile := gw.ExportLearned(gw.now).Profiles[0]
@@ -1137,14 +1137,14 @@
 	// Output:
 	// <nil> <nil> true true
 	// age 10ms profile: true kind: true
-	// host 1 pace: true barred: false
-	// host 2 pace: true barred: true
-	// host 3 pace: false barred: false
+	// host 1 service time ratio: true barred: false
+	// host 2 service time ratio: true barred: true
+	// host 3 service time ratio: false barred: false
 	// hops to host 2: false own stays: true
 	// age 5s profile: true kind: true
-	// host 1 pace: false barred: false
-	// host 2 pace: false barred: false
-	// host 3 pace: false barred: false
+	// host 1 service time ratio: false barred: false
+	// host 2 service time ratio: false barred: false
+	// host 3 service time ratio: false barred: false
 	// hops to host 2: true own stays: true
 }
 
@@ -1163,7 +1163,7 @@
 			if gw.lastHost == 0 {
 				waiting++
 			}
-			if strings.Contains(gw.lines.String(), "asks") {
+			if strings.Contains(gw.lines.String(), "pick request") {
 				requested++
 			}
 			gw.advance(100 * ms)
@@ -1184,9 +1184,9 @@
 	// Output:
 	// at first: 25 wait, 25 ask
 	// five seconds later on: 0 wait, 5 ask
-	// 10000 tell 0: asks, host 0, 0 hops
+	// 10000 peer message to 0: pick request, host 0, 0 hops
 	// 10000 tx 90 hop to 1 for 1000
-	// 10000 tell 0: asks, host 0, 0 hops
+	// 10000 peer message to 0: pick request, host 0, 0 hops
 }
 
 // A request waits for a remote pick only where responses come within a quarter of its service goal. Where they are
@@ -1209,7 +1209,7 @@
 			if gw.lastHost == 0 {
 				waiting++
 			}
-			pickRequested := strings.Contains(gw.lines.String(), "asks")
+			pickRequested := strings.Contains(gw.lines.String(), "pick request")
 			if pickRequested {
 				requested++
 			}
--- a/logic/points_test.go
+++ b/logic/points_test.go
@@ -207,5 +207,5 @@
 	// Output:
 	// 1000 tx 1 hop to 1 for 1000
 	// 1000 tx 2 hop to 1 for 1000
-	// 1060 tx 2 rolled back, come back after 0
+	// 1060 tx 2 rolled back, retry after 0
 }
--- a/logic/retry_test.go
+++ b/logic/retry_test.go
@@ -97,10 +97,10 @@
 					gw.run(20, 1, 200*ms, outcome)
 				}
 				if excess := gw.maxExcess(budget); excess > 0 {
-					t.Errorf("%+v, %d gateways, hops end %d: %.1f over the budget in some window", budget, gatewayCount, outcome, excess)
+					t.Errorf("%+v, %d gateways, hop outcome %d: %.1f retries over the budget in some window", budget, gatewayCount, outcome, excess)
 				}
 				if minRetries := budget.BaseRetries + budget.RetriesPerTransaction*100; outcome == logic.HopNoConnection && gatewayCount == 3 && float64(len(gw.retriedAt)) < minRetries {
-					t.Errorf("%+v: %d further hops in all: a budget is there to be used", budget, len(gw.retriedAt))
+					t.Errorf("%+v: %d retries in all: the budget is not used", budget, len(gw.retriedAt))
 				}
 			}
 		}
@@ -112,7 +112,7 @@
 	gw := startRetryGateway(3, logic.RetryBudget{})
 	gw.run(20, 0, 50*ms, logic.HopNoConnection)
 	if len(gw.retriedAt) < 40 {
-		t.Errorf("%d further hops of 20 transactions that met no connection", len(gw.retriedAt))
+		t.Errorf("%d retries of 20 transactions whose hops got no connection", len(gw.retriedAt))
 	}
 }
 
@@ -123,11 +123,11 @@
 	gw.run(20, 0, 10*ms, logic.HopCommitted)
 	gw.run(20, 1, 10*ms, logic.HopCommitted)
 	gw.run(60, 0, 10*ms, logic.HopNoConnection)
-	fmt.Println("further hops of reads, and of payments:", gw.retriesByProfile[0], gw.retriesByProfile[1])
+	fmt.Println("retries of reads, and of payments:", gw.retriesByProfile[0], gw.retriesByProfile[1])
 	gw.advance(2 * time.Second)
 	gw.run(3, 1, 10*ms, logic.HopNoConnection)
-	fmt.Println("further hops of reads, and of payments:", gw.retriesByProfile[0], gw.retriesByProfile[1])
+	fmt.Println("retries of reads, and of payments:", gw.retriesByProfile[0], gw.retriesByProfile[1])
 	// Output:
-	// further hops of reads, and of payments: 18 0
-	// further hops of reads, and of payments: 18 2
+	// retries of reads, and of payments: 18 0
+	// retries of reads, and of payments: 18 2
 }
--- a/logic/rulechecker_test.go
+++ b/logic/rulechecker_test.go
@@ -48,13 +48,13 @@
 
 func (c *ruleChecker) SendHop(id logic.TxID, hostID logic.HostID, timeout time.Duration) {
 	t := c.txs[id]
-	c.check("a hop of what is over", t != nil && !t.answered)
+	c.check("a hop after the final answer", t != nil && !t.answered)
 	c.check("a hop to a host that is not ready", c.hostStates[hostID] == logic.HostReady)
 	if t == nil {
 		return
 	}
 	target := hostWithID(hostID)
-	c.check("run twice", t.possiblyRanOn == nil && t.hopsInFlight == 0 || t.profile.Effect == logic.Idempotent ||
+	c.check("may run twice", t.possiblyRanOn == nil && t.hopsInFlight == 0 || t.profile.Effect == logic.Idempotent ||
 		t.profile.Effect == logic.Journalled && t.possiblyRanOn != nil && t.possiblyRanOn.Zone == target.Zone)
 	t.hops = append(t.hops, target)
 	t.hopsInFlight++
@@ -95,20 +95,20 @@
 					checker.randomStep(random, &received)
 				}
 			}
-			fmt.Println(sources.PeersShareInFlight, sources.ResponsesReportLoad, sources.ResponsesReportInFlight, sources.CapacityHints, "gateways:", gatewayCount, "taken:", received > 1000, "wrong:", violations)
+			fmt.Println(sources.PeersShareInFlight, sources.ResponsesReportLoad, sources.ResponsesReportInFlight, sources.CapacityHints, "gateways:", gatewayCount, "taken:", received > 1000, "violations:", violations)
 		}
 	}
 	// Output:
-	// true false false 0 gateways: 2 taken: true wrong: map[]
-	// true false false 0 gateways: 300 taken: true wrong: map[]
-	// false true false 0 gateways: 2 taken: true wrong: map[]
-	// false true false 0 gateways: 300 taken: true wrong: map[]
-	// false true true 0 gateways: 2 taken: true wrong: map[]
-	// false true true 0 gateways: 300 taken: true wrong: map[]
-	// false false false 2 gateways: 2 taken: true wrong: map[]
-	// false false false 2 gateways: 300 taken: true wrong: map[]
-	// false false false 1 gateways: 2 taken: true wrong: map[]
-	// false false false 1 gateways: 300 taken: true wrong: map[]
+	// true false false 0 gateways: 2 taken: true violations: map[]
+	// true false false 0 gateways: 300 taken: true violations: map[]
+	// false true false 0 gateways: 2 taken: true violations: map[]
+	// false true false 0 gateways: 300 taken: true violations: map[]
+	// false true true 0 gateways: 2 taken: true violations: map[]
+	// false true true 0 gateways: 300 taken: true violations: map[]
+	// false false false 2 gateways: 2 taken: true violations: map[]
+	// false false false 2 gateways: 300 taken: true violations: map[]
+	// false false false 1 gateways: 2 taken: true violations: map[]
+	// false false false 1 gateways: 300 taken: true violations: map[]
 }
 
 // randomStep lets up to 40 ms pass and has one random event happen: the host list changes, shrinks to one zone or
--- a/logic/testgateway_test.go
+++ b/logic/testgateway_test.go
@@ -82,18 +82,20 @@
 	gw.record("tx %d call off hop %d", id, hopIndex)
 }
 func (gw *testGateway) RollBack(id logic.TxID, retryAfter time.Duration) {
-	gw.record("tx %d rolled back, come back after %d", id, retryAfter/ms)
+	gw.record("tx %d rolled back, retry after %d", id, retryAfter/ms)
+}
+func (gw *testGateway) Abandon(id logic.TxID) { gw.record("tx %d abandoned", id) }
+func (gw *testGateway) Probe(id logic.HostID) { gw.record("probe %d", id) }
+func (gw *testGateway) CloseIdleConnections(id logic.HostID) {
+	gw.record("close idle connections to %d", id)
 }
-func (gw *testGateway) Abandon(id logic.TxID)                { gw.record("tx %d abandoned", id) }
-func (gw *testGateway) Probe(id logic.HostID)                { gw.record("probe %d", id) }
-func (gw *testGateway) CloseIdleConnections(id logic.HostID) { gw.record("release %d", id) }
 func (gw *testGateway) SendPeerMessage(to int, entries []logic.PeerEntry) {
 	for _, entry := range entries {
-		kind := [...]string{"out", "sum", "ended", "asks", "answer"}[entry.Kind]
-		gw.record("tell %d: %s, host %d, %d hops", to, kind, entry.Host, entry.InFlight)
+		kind := [...]string{"in flight", "aggregate", "hop ended", "pick request", "pick response"}[entry.Kind]
+		gw.record("peer message to %d: %s, host %d, %d hops", to, kind, entry.Host, entry.InFlight)
 	}
 }
-func (gw *testGateway) RequestHostList()             { gw.listRequestedAt = gw.now; gw.record("ask for the list") }
+func (gw *testGateway) RequestHostList()             { gw.listRequestedAt = gw.now; gw.record("request host list") }
 func (gw *testGateway) SetTimer(delay time.Duration) { gw.timers = append(gw.timers, gw.now+delay) }
 func (gw *testGateway) Log(line string)              { fmt.Fprintf(&gw.lines, "%d log: %s\n", gw.now/ms, line) }
 
--- a/logic/wronglist_test.go
+++ b/logic/wronglist_test.go
@@ -50,7 +50,7 @@
 	for _, kind := range []logic.ListKind{logic.ListChanges, logic.ListComplete} {
 		hops := hopsAfterWrongList(true, kind, logic.HostReady)
 		if hops[2]+hops[3]+hops[4] < 190 || hops[1] > 30 {
-			t.Errorf("list %d: hops %v: want the three that answer used, the one that does not left", kind, hops)
+			t.Errorf("list %d: hops %v: want most at the three hosts that answer and few at host 1", kind, hops)
 		}
 	}
 }
@@ -63,7 +63,7 @@
 			t.Errorf("list %d: hops %v to hosts that are gone", kind, hops)
 		}
 		if hops := hopsAfterWrongList(true, kind, logic.HostDraining); hops[1] > 0 {
-			t.Errorf("list %d: hops %v: the first one drained", kind, hops)
+			t.Errorf("list %d: hops %v: host 1 was draining", kind, hops)
 		}
 	}
 }
