--- a/logic/bench_test.go
+++ b/logic/bench_test.go
@@ -15,9 +15,14 @@
 	for _, scenario := range []struct {
 		name    string
 		sources logic.InformationSources
-	}{{"sizes", logic.InformationSources{CapacityHints: logic.LiveCapacity}}, {"blind", logic.InformationSources{}}, {"reports", logic.InformationSources{ResponsesReportLoad: true}}} {
+	}{
+		{"sizes", logic.InformationSources{CapacityHints: logic.LiveCapacity}},
+		{"blind", logic.InformationSources{}},
+		{"reports", logic.InformationSources{ResponsesReportLoad: true}},
+	} {
 		for _, hosts := range []int{12, 50, 250, 1000} {
-			b.Run(fmt.Sprintf("%s/%d", scenario.name, hosts), func(b *testing.B) { benchmarkDecisions(b, scenario.sources, hosts) })
+			b.Run(fmt.Sprintf("%s/%d", scenario.name, hosts),
+				func(b *testing.B) { benchmarkDecisions(b, scenario.sources, hosts) })
 		}
 	}
 }
--- a/logic/idlehost_test.go
+++ b/logic/idlehost_test.go
@@ -12,7 +12,8 @@
 // the expected time exceeds the least recent service time, nothing new was ever learned about the host (seen in
 // Example_replaced of cmd/spanmux under load).
 func Example_idleHost() {
-	gw := startGatewayAmong(1, 0, logic.InformationSources{MaxListPollInterval: 10 * time.Second}, []logic.Profile{readProfile}, nil, readyHost(1, "a", 1))
+	gw := startGatewayAmong(1, 0, logic.InformationSources{MaxListPollInterval: 10 * time.Second},
+		[]logic.Profile{readProfile}, nil, readyHost(1, "a", 1))
 	gw.quiet = true
 	id := 0
 	runTransactions := func(count int, latency, pause time.Duration) {
@@ -39,7 +40,8 @@
 func Example_hostKindWithoutReports() {
 	hosts := []logic.Host{readyHost(1, "a", 1), readyHost(2, "a", 1), readyHost(3, "a", 1)}
 	hosts[1].Kind, hosts[2].Kind = "crate", "crate"
-	gw := startGatewayAmong(100, 0, logic.InformationSources{MaxListPollInterval: 10 * time.Second, ResponsesReportLoad: true, ResponsesReportInFlight: true}, []logic.Profile{readProfile}, nil, hosts...)
+	gw := startGatewayAmong(100, 0, logic.InformationSources{MaxListPollInterval: 10 * time.Second,
+		ResponsesReportLoad: true, ResponsesReportInFlight: true}, []logic.Profile{readProfile}, nil, hosts...)
 	gw.quiet = true
 	for id := 1; id <= 600; id++ {
 		gw.lastHost = 0
@@ -50,7 +52,8 @@
 			load = logic.NoLoadReport
 		}
 		if gw.lastHost != 0 {
-			gw.HopEnded(gw.now, logic.TxID(id), 0, logic.HopResult{Outcome: logic.HopCommitted, Latency: 20 * ms, Load: load}, true)
+			gw.HopEnded(gw.now, logic.TxID(id), 0,
+				logic.HopResult{Outcome: logic.HopCommitted, Latency: 20 * ms, Load: load}, true)
 		}
 	}
 	fmt.Println("hops to hosts without load reports, over 200:", gw.hopsByHost[2]+gw.hopsByHost[3] > 200)
--- a/logic/largefleet_test.go
+++ b/logic/largefleet_test.go
@@ -20,7 +20,8 @@
 	for i := range largeFleetSize {
 		hosts = append(hosts, readyHost(logic.HostID(1+i), "a", i))
 	}
-	gw := startGatewayAmong(largeFleetSize, 0, logic.InformationSources{PeersShareInFlight: true}, []logic.Profile{readProfile}, nil, hosts...)
+	gw := startGatewayAmong(largeFleetSize, 0, logic.InformationSources{PeersShareInFlight: true},
+		[]logic.Profile{readProfile}, nil, hosts...)
 	gw.quiet = true
 	return gw
 }
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -32,7 +32,8 @@
 // A journalled transaction that may have run is retried only at hosts that drop its repeats, here those of the same
 // cell, and only within its deduplication window.
 func Example_journalled() {
-	gw := startGateway([]logic.Profile{orderProfile}, nil, readyHost(1, "a", 1), readyHost(2, "a", 2), readyHost(3, "b", 1), readyHost(4, "b", 2))
+	gw := startGateway([]logic.Profile{orderProfile}, nil, readyHost(1, "a", 1), readyHost(2, "a", 2),
+		readyHost(3, "b", 1), readyHost(4, "b", 2))
 	gw.receive(1, 0, -1)
 	gw.endHop(1, 0, logic.HopError, ms)
 	gw.endHop(1, 1, logic.HopError, ms) // no further host in its cell
@@ -51,7 +52,8 @@
 // At the start the number of slots of a host is a guess: no transaction is rejected by it, and no service time is
 // learned by it. As hops accumulate there the host is probed, and what its report shows counts from then on.
 func Example_slotsUnknown() {
-	gw := startGatewayAmong(2, 0, logic.InformationSources{ProbesReportLoad: true}, []logic.Profile{readProfile}, nil, readyHost(1, "a", 1))
+	gw := startGatewayAmong(2, 0, logic.InformationSources{ProbesReportLoad: true}, []logic.Profile{readProfile}, nil,
+		readyHost(1, "a", 1))
 	gw.quiet = true
 	for id := 1; id <= 7; id++ {
 		gw.receive(id, 0, -1)
@@ -102,7 +104,8 @@
 	gw.HostListReceived(gw.now, logic.ListChanges, []logic.Host{draining})
 	gw.runCommitted(1, 20, 0)
 	fmt.Println("hops while 1 drains:", gw.hopsByHost)
-	gw.HostListReceived(gw.now, logic.ListComplete, []logic.Host{readyHost(1, "a", 1)}) // host 2 is missing from the list, so it is gone
+	// Host 2 is missing from this list, so it is gone.
+	gw.HostListReceived(gw.now, logic.ListComplete, []logic.Host{readyHost(1, "a", 1)})
 	gw.runCommitted(21, 20, 0)
 	fmt.Println("hops after 2 is gone:", gw.hopsByHost)
 	// Output:
@@ -115,7 +118,8 @@
 // broke that rule (runs rough-1 and rules-4 of one deployment).
 func Example_drainClosesIdleConnections() {
 	for _, closeIdle := range []bool{true, false} {
-		gw := startGatewayWithRules(2, 0, logic.InformationSources{ProbesReportLoad: true}, logic.CostModel{}, logic.DrainRule{CloseIdleConnections: closeIdle},
+		gw := startGatewayWithRules(2, 0, logic.InformationSources{ProbesReportLoad: true}, logic.CostModel{},
+			logic.DrainRule{CloseIdleConnections: closeIdle},
 			logic.HopRule{MaxHops: 3, CallOff: true}, []logic.Profile{readProfile}, nil, readyHost(1, "a", 1))
 		gw.receive(1, 0, -1)
 		gw.receive(2, 0, -1)
@@ -165,7 +169,8 @@
 func Example_coldHostWithLiveCapacityHints() {
 	hopsToCold := 0
 	for gatewayIndex := range 200 {
-		gw := startGatewayAmong(200, gatewayIndex, logic.InformationSources{CapacityHints: logic.LiveCapacity}, []logic.Profile{readProfile}, nil)
+		gw := startGatewayAmong(200, gatewayIndex, logic.InformationSources{CapacityHints: logic.LiveCapacity},
+			[]logic.Profile{readProfile}, nil)
 		warm, cold := readyHost(1, "a", 1), readyHost(2, "a", 1)
 		warm.CapacityHint, cold.CapacityHint, cold.StartedAt = 0.05, 1, gw.now
 		gw.HostListReceived(gw.now, logic.ListComplete, []logic.Host{warm, cold})
@@ -184,7 +189,8 @@
 func Example_finalAnswers() {
 	latePayment := paymentProfile
 	latePayment.LateRevenueFraction = 0.5
-	gw := startGateway([]logic.Profile{paymentProfile, latePayment, readProfile}, nil, readyHost(1, "a", 1), readyHost(2, "a", 1), readyHost(3, "a", 1))
+	gw := startGateway([]logic.Profile{paymentProfile, latePayment, readProfile}, nil, readyHost(1, "a", 1),
+		readyHost(2, "a", 1), readyHost(3, "a", 1))
 	gw.receive(1, 0, -1) // earns nothing past its goal, so it ends there
 	gw.receive(2, 1, -1) // earns something then, so it has its whole budget
 	gw.receive(3, 2, -1) // idempotent: if it ended at its goal, its client would only retry
@@ -217,7 +223,8 @@
 	gw.printLines()
 	requestsBySecond := [5]int{}
 	for gatewayIndex := range 1000 {
-		gw := startGatewayAmong(1000, gatewayIndex, logic.InformationSources{MaxListPollInterval: 10 * time.Second}, nil, nil, readyHost(1, "a", 1))
+		gw := startGatewayAmong(1000, gatewayIndex, logic.InformationSources{MaxListPollInterval: 10 * time.Second},
+			nil, nil, readyHost(1, "a", 1))
 		gw.advance(9*time.Second).HostListReceived(gw.now, logic.ListFailed, nil)
 		gw.advance(9 * time.Second)
 		requestsBySecond[(gw.listRequestedAt-10*time.Second)/time.Second]++
@@ -275,7 +282,8 @@
 // Where one hop in fourteen fails at all hosts alike, as when responses are corrupted or connections are reset, errors
 // close together are chance and open no breaker. A host that fails all of its hops is barred as before.
 func Example_randomErrors() {
-	gw := startGateway([]logic.Profile{paymentProfile}, nil, readyHost(1, "a", 1), readyHost(2, "a", 1), readyHost(3, "a", 1), readyHost(4, "a", 1))
+	gw := startGateway([]logic.Profile{paymentProfile}, nil, readyHost(1, "a", 1), readyHost(2, "a", 1),
+		readyHost(3, "a", 1), readyHost(4, "a", 1))
 	gw.quiet = true
 	random := rand.New(rand.NewPCG(1, 2))
 	for id := range 2000 {
@@ -318,15 +326,19 @@
 // One of many gateways requests picks from the coordinator of its zone, sends it the outcomes of hops, and picks by
 // itself where no response comes. After five requests without a response it turns to the next coordinator.
 func Example_remotePick() {
-	gw := startGatewayAmong(100, 9, logic.InformationSources{PeersShareInFlight: true}, []logic.Profile{longGoalReadProfile}, nil, readyHost(1, "a", 1), readyHost(2, "a", 1))
+	gw := startGatewayAmong(100, 9, logic.InformationSources{PeersShareInFlight: true},
+		[]logic.Profile{longGoalReadProfile}, nil, readyHost(1, "a", 1), readyHost(2, "a", 1))
 	gw.receive(1, 0, -1)
 	gw.PeerMessageReceived(gw.now, 0, []logic.PeerEntry{{Kind: logic.EntryPickResponse, Host: 2, InFlight: 1}})
 	gw.advance(20 * ms)
 	gw.endHop(1, 0, logic.HopCommitted, 20*ms)
 	gw.advance(20 * ms)
 	gw.receive(2, 0, -1)
-	gw.PeerMessageReceived(gw.now, 0, []logic.PeerEntry{{Kind: logic.EntryPickResponse}})                                                              // no host: it is rolled back
-	gw.PeerMessageReceived(gw.now, 0, []logic.PeerEntry{{Kind: logic.EntryPickResponse, Host: 1}, {Kind: logic.EntryInFlight, Host: 77, InFlight: 3}}) // too late; unknown host
+	// No host is picked: the transaction is rolled back.
+	gw.PeerMessageReceived(gw.now, 0, []logic.PeerEntry{{Kind: logic.EntryPickResponse}})
+	// The response comes too late, and the other entry names an unknown host.
+	gw.PeerMessageReceived(gw.now, 0, []logic.PeerEntry{{Kind: logic.EntryPickResponse, Host: 1},
+		{Kind: logic.EntryInFlight, Host: 77, InFlight: 3}})
 	gw.advance(20 * ms)
 	gw.quiet = true
 	for id := 10; id < 15; id++ {
@@ -353,8 +365,8 @@
 // A zone coordinator spreads the transactions of all gateways that request picks, and counts each hop as in flight from
 // the pick on.
 func Example_zoneCoordinator() {
-	gw := startGatewayAmong(100, 0, logic.InformationSources{PeersShareInFlight: true}, []logic.Profile{readProfile}, nil, readyHost(1, "a", 1), readyHost(2, "a", 1),
-		readyHost(3, "b", 2))
+	gw := startGatewayAmong(100, 0, logic.InformationSources{PeersShareInFlight: true}, []logic.Profile{readProfile},
+		nil, readyHost(1, "a", 1), readyHost(2, "a", 1), readyHost(3, "b", 2))
 	gw.runCommitted(1, 20, 0)
 	gw.advance(20 * ms)
 	for from := 2; from < 6; from++ {
@@ -378,7 +390,8 @@
 		hosts = append(hosts, readyHost(logic.HostID(id+2), "a", 1))
 	}
 	for gatewayIndex := range 1000 {
-		gw := startGatewayAmong(1000, gatewayIndex, logic.InformationSources{ResponsesReportLoad: true}, []logic.Profile{readProfile}, nil, hosts...)
+		gw := startGatewayAmong(1000, gatewayIndex, logic.InformationSources{ResponsesReportLoad: true},
+			[]logic.Profile{readProfile}, nil, hosts...)
 		gw.receive(1, 0, -1)
 		hopsToCold += gw.hopsByHost[1]
 	}
@@ -531,7 +544,8 @@
 	}
 	lateOrder := orderProfile
 	lateOrder.DedupScope, lateOrder.DedupWindow, lateOrder.LateRevenueFraction = logic.DedupSameZone, 3*time.Second, 0.2
-	return startGatewayWithCosts(300, gatewayIndex, logic.InformationSources{ResponsesReportLoad: true, ResponsesReportInFlight: true, ExtraProbesAllowed: true},
+	return startGatewayWithCosts(300, gatewayIndex,
+		logic.InformationSources{ResponsesReportLoad: true, ResponsesReportInFlight: true, ExtraProbesAllowed: true},
 		logic.CostModel{CrossZoneHop: 0.03, OpenConnections: true, MissedGoals: true}, []logic.Profile{lateOrder}, nil, hosts...)
 }
 
@@ -596,7 +610,8 @@
 		}
 		gw.hopsByHost = map[logic.HostID]int{}
 		for _, id := range []logic.HostID{1, 2} {
-			gw.ProbeEnded(gw.now, id, logic.LoadReport{InFlight: inFlight, Queued: -1, Utilization: 1, RequestsPerSecond: -1, LatencyMs: -1})
+			gw.ProbeEnded(gw.now, id, logic.LoadReport{InFlight: inFlight, Queued: -1, Utilization: 1,
+				RequestsPerSecond: -1, LatencyMs: -1})
 		}
 		gw.quiet = false
 		gw.receive(21, 0, -1)
@@ -616,7 +631,8 @@
 	gw := startWithInFlightReports(1, 1)
 	for i, inFlight := range []float64{4, 14, 26, 40} {
 		for _, id := range []logic.HostID{1, 2} {
-			gw.ProbeEnded(gw.now, id, logic.LoadReport{InFlight: inFlight, Queued: -1, Utilization: 0.05 + 0.2*float64(i), RequestsPerSecond: -1, LatencyMs: -1})
+			gw.ProbeEnded(gw.now, id, logic.LoadReport{InFlight: inFlight, Queued: -1,
+				Utilization: 0.05 + 0.2*float64(i), RequestsPerSecond: -1, LatencyMs: -1})
 		}
 		gw.advance(100 * ms)
 	}
@@ -633,7 +649,8 @@
 	gw.quiet = true
 	reportLoad := func(inFlight, utilization float64) {
 		for _, id := range []logic.HostID{1, 2} {
-			gw.ProbeEnded(gw.now, id, logic.LoadReport{InFlight: inFlight, Queued: -1, Utilization: utilization, RequestsPerSecond: -1, LatencyMs: -1})
+			gw.ProbeEnded(gw.now, id, logic.LoadReport{InFlight: inFlight, Queued: -1, Utilization: utilization,
+				RequestsPerSecond: -1, LatencyMs: -1})
 		}
 	}
 	hopsOf40 := func(firstID int) (n int) {
@@ -768,7 +785,8 @@
 			if gw.lastHost == 3 {
 				load.RequestsPerSecond = rate
 			}
-			gw.HopEnded(gw.now, logic.TxID(id), 0, logic.HopResult{Outcome: logic.HopCommitted, Latency: 20 * ms, Load: load}, true)
+			gw.HopEnded(gw.now, logic.TxID(id), 0,
+				logic.HopResult{Outcome: logic.HopCommitted, Latency: 20 * ms, Load: load}, true)
 		}
 		fmt.Println("rate", rate, "at host 3, hops:", gw.hopsByHost)
 	}
@@ -852,19 +870,25 @@
 		h.Kind, h.CapacityHint = kind, hint
 		return h
 	}
-	gw := startGatewayAmong(100, 1, logic.InformationSources{CapacityHints: logic.LiveCapacity}, []logic.Profile{readProfile}, nil,
-		hostWithHint(1, "a", "fast", 2), hostWithHint(2, "a", "fast", 2), hostWithHint(3, "a", "slow", 1), hostWithHint(4, "b", "slow", 1))
+	gw := startGatewayAmong(100, 1, logic.InformationSources{CapacityHints: logic.LiveCapacity},
+		[]logic.Profile{readProfile}, nil, hostWithHint(1, "a", "fast", 2), hostWithHint(2, "a", "fast", 2),
+		hostWithHint(3, "a", "slow", 1), hostWithHint(4, "b", "slow", 1))
 	gw.quiet = true
 	id := 0
-	for _, inFlightPerCore := range [][]float64{{0, 0, 0, 0}, {0, 0, 0, 0}, {4, 0, 0, 0}, {0, 0, 0, 0}, {3, 3, 3, 0}, {0, 0, 0, 0}, {5, 5, 5, 5}} {
+	for _, inFlightPerCore := range [][]float64{{0, 0, 0, 0}, {0, 0, 0, 0}, {4, 0, 0, 0}, {0, 0, 0, 0}, {3, 3, 3, 0},
+		{0, 0, 0, 0}, {5, 5, 5, 5}} {
 		gw.hopsByHost = map[logic.HostID]int{}
 		latency := 5 * ms
 		if inFlightPerCore[3] > 0 {
 			latency = 350 * ms
 		}
 		for range 5 {
-			gw.HostListReceived(gw.now, logic.ListChanges, []logic.Host{hostWithHint(1, "a", "fast", 2/(1+inFlightPerCore[0])), hostWithHint(2, "a", "fast", 2/(1+inFlightPerCore[1])),
-				hostWithHint(3, "a", "slow", 1/(1+inFlightPerCore[2])), hostWithHint(4, "b", "slow", 1/(1+inFlightPerCore[3]))})
+			gw.HostListReceived(gw.now, logic.ListChanges, []logic.Host{
+				hostWithHint(1, "a", "fast", 2/(1+inFlightPerCore[0])),
+				hostWithHint(2, "a", "fast", 2/(1+inFlightPerCore[1])),
+				hostWithHint(3, "a", "slow", 1/(1+inFlightPerCore[2])),
+				hostWithHint(4, "b", "slow", 1/(1+inFlightPerCore[3])),
+			})
 			for range 20 {
 				id++
 				gw.receive(id, 0, -1)
@@ -894,7 +918,8 @@
 	for id := range 9 {
 		hosts = append(hosts, readyHost(logic.HostID(10+id), "b", 1))
 	}
-	gw := startGateway([]logic.Profile{readProfile}, []logic.Tenant{{Name: "x", QuotaPerSecond: 40}, {Name: "y", QuotaPerSecond: 40}}, hosts...)
+	gw := startGateway([]logic.Profile{readProfile},
+		[]logic.Tenant{{Name: "x", QuotaPerSecond: 40}, {Name: "y", QuotaPerSecond: 40}}, hosts...)
 	gw.quiet = true
 	committed := 0
 	for id := range 600 {
@@ -919,8 +944,9 @@
 // Clients that read slowly fill the response buffers. Their transactions end past their service goal, where the host
 // answers others far sooner, and say nothing about that host.
 func Example_slowReaders() {
-	gw := startGatewayWithRules(2, 0, logic.InformationSources{MaxListPollInterval: 10 * time.Second}, logic.CostModel{}, logic.DrainRule{},
-		logic.HopRule{MaxHops: 3, CallOff: true, MaxBufferedResponses: 8}, []logic.Profile{readProfile}, nil, readyHost(1, "a", 1), readyHost(2, "a", 1))
+	gw := startGatewayWithRules(2, 0, logic.InformationSources{MaxListPollInterval: 10 * time.Second},
+		logic.CostModel{}, logic.DrainRule{}, logic.HopRule{MaxHops: 3, CallOff: true, MaxBufferedResponses: 8},
+		[]logic.Profile{readProfile}, nil, readyHost(1, "a", 1), readyHost(2, "a", 1))
 	gw.runCommitted(1, 20, 0)
 	for id := 100; id < 104; id++ {
 		gw.receive(id, 0, -1)
@@ -951,7 +977,8 @@
 // rejects transactions at random that would only wait, and calls off hops that take long; it avoids hosts where it has
 // a hop in flight or that were slow.
 func Example_noLoadInfo() {
-	gw := startGatewayAmong(400, 3, logic.InformationSources{MaxListPollInterval: 10 * time.Second}, []logic.Profile{readProfile}, nil,
+	gw := startGatewayAmong(400, 3, logic.InformationSources{MaxListPollInterval: 10 * time.Second},
+		[]logic.Profile{readProfile}, nil,
 		readyHost(1, "a", 1), readyHost(2, "a", 1), readyHost(3, "a", 1), readyHost(4, "b", 1))
 	gw.quiet = true
 	id := 0
@@ -979,7 +1006,8 @@
 	gw.endHop(1000, 1, logic.HopCalledOff, 200*ms)
 	gw.endHop(1001, 1, logic.HopCalledOff, 200*ms)
 	gw.advance(30 * time.Second)
-	gw.HostListReceived(gw.now, logic.ListComplete, []logic.Host{readyHost(4, "b", 1)}) // no host is left in the gateway's own zone
+	// No host is left in the gateway's own zone.
+	gw.HostListReceived(gw.now, logic.ListComplete, []logic.Host{readyHost(4, "b", 1)})
 	gw.receive(1002, 0, -1)
 	gw.HostListReceived(gw.now, logic.ListComplete, nil)
 	gw.receive(1003, 0, -1)
@@ -1027,11 +1055,14 @@
 // Where a few gateways know only their own hops, the limit of each at a host is the lower the more gateways a zone has.
 // When each went by its own count it sent as much as a single gateway may, and hosts became slow one by one.
 func Example_fewGatewaysWithoutReports() {
-	for _, sources := range []logic.InformationSources{{MaxListPollInterval: 10 * time.Second}, {MaxListPollInterval: 10 * time.Second, ProbesReportLoad: true}} {
+	for _, sources := range []logic.InformationSources{{MaxListPollInterval: 10 * time.Second},
+		{MaxListPollInterval: 10 * time.Second, ProbesReportLoad: true}} {
 		for _, gatewayCount := range []int{2, 4, 16} {
 			gw := startGatewayAmong(gatewayCount, 1, sources, []logic.Profile{readProfile}, nil, readyHost(1, "a", 1))
-			if sources.ProbesReportLoad { // a probe per second shows the slots, and what others have in flight at that moment only
-				gw.ProbeEnded(gw.now, 1, logic.LoadReport{InFlight: 3, Queued: 1, Utilization: -1, RequestsPerSecond: -1, LatencyMs: -1})
+			// A probe per second shows the slots, and what others have in flight at that moment only.
+			if sources.ProbesReportLoad {
+				gw.ProbeEnded(gw.now, 1, logic.LoadReport{InFlight: 3, Queued: 1, Utilization: -1,
+					RequestsPerSecond: -1, LatencyMs: -1})
 			}
 			gw.runCommitted(1, 20, 0)
 			before := gw.hopsByHost[1]
@@ -1039,7 +1070,8 @@
 			for id := range 9 {
 				gw.receive(100+id, 0, -1)
 			}
-			fmt.Println("probed:", sources.ProbesReportLoad, "gateways:", gatewayCount, "hops in flight at the host:", gw.hopsByHost[1]-before)
+			fmt.Println("probed:", sources.ProbesReportLoad, "gateways:", gatewayCount, "hops in flight at the host:",
+				gw.hopsByHost[1]-before)
 		}
 	}
 	// Output:
@@ -1061,7 +1093,8 @@
 	}
 	hostsOfAll := map[logic.HostID]bool{}
 	for gatewayIndex := range 3 {
-		gw := startGatewayAmong(400, gatewayIndex, logic.InformationSources{MaxListPollInterval: 10 * time.Second}, []logic.Profile{readProfile}, nil, hosts...)
+		gw := startGatewayAmong(400, gatewayIndex, logic.InformationSources{MaxListPollInterval: 10 * time.Second},
+			[]logic.Profile{readProfile}, nil, hosts...)
 		gw.quiet = true
 		down := logic.HostID(0)
 		for id := range 40 {
@@ -1079,7 +1112,8 @@
 		for h := range gw.hopsByHost {
 			hostsOfAll[h] = true
 		}
-		fmt.Println("gateway", gatewayIndex, "hosts:", len(gw.hopsByHost), "hops of 40 to the one that is down:", gw.hopsByHost[down])
+		fmt.Println("gateway", gatewayIndex, "hosts:", len(gw.hopsByHost), "hops of 40 to the one that is down:",
+			gw.hopsByHost[down])
 	}
 	fmt.Println("hosts of the three:", len(hostsOfAll))
 	// Output:
@@ -1101,7 +1135,8 @@
 	predecessor.advance(9 * time.Second)
 	predecessor.runCommitted(0, 60, 0)
 	predecessor.quiet = true
-	for id := 100; !strings.Contains(predecessor.lines.String(), "host 2, all profiles: breaker open true"); id++ { // host 2 fails
+	// Runs until the failures of host 2 have opened its breaker.
+	for id := 100; !strings.Contains(predecessor.lines.String(), "host 2, all profiles: breaker open true"); id++ {
 		predecessor.receive(id, 0, -1)
 		outcome := logic.HopCommitted
 		if predecessor.lastHost == 2 {
@@ -1112,7 +1147,8 @@
 	}
 	encoded, err := json.Marshal(predecessor.ExportLearned(predecessor.now))
 	var learned logic.LearnedState
-	fmt.Println(err, json.Unmarshal(encoded, &learned), learned.Profiles[0].ServiceTime.Value < 1e8, learned.Hosts[1].BreakerOpenFor > 0)
+	fmt.Println(err, json.Unmarshal(encoded, &learned), learned.Profiles[0].ServiceTime.Value < 1e8,
+		learned.Hosts[1].BreakerOpenFor > 0)
 
 	for _, age := range []time.Duration{10 * ms, 5 * time.Second} {
 		gw := startGateway([]logic.Profile{readProfile, paymentProfile}, nil)
@@ -1125,9 +1161,11 @@
 		gw.HostListReceived(gw.now, logic.ListComplete, moved)
 		gw.ImportLearned(gw.now, learned, age)
 		imported := gw.ExportLearned(gw.now)
-		fmt.Println("age", age, "profile:", imported.Profiles[0] == learned.Profiles[0], "kind:", imported.Kinds[0] == learned.Kinds[0])
+		fmt.Println("age", age, "profile:", imported.Profiles[0] == learned.Profiles[0], "kind:",
+			imported.Kinds[0] == learned.Kinds[0])
 		for i, h := range imported.Hosts {
-			fmt.Println("host", h.ID, "service time ratio:", h.ServiceTimeRatio == learned.Hosts[i].ServiceTimeRatio, "barred:", h.BreakerOpenFor > 0)
+			fmt.Println("host", h.ID, "service time ratio:", h.ServiceTimeRatio == learned.Hosts[i].ServiceTimeRatio,
+				"barred:", h.BreakerOpenFor > 0)
 		}
 		gw.runCommitted(0, 20, 0)
 		ownProfile := gw.ExportLearned(gw.now).Profiles[0]
@@ -1152,7 +1190,9 @@
 // second to see whether that has changed. While gateways were cut off from each other, each transaction had waited for
 // the timeout in vain. After a response the gateway requests picks from the first coordinator as before.
 func Example_unresponsivePeers() {
-	gw := startGatewayAmong(300, 100, logic.InformationSources{PeersShareInFlight: true, MaxListPollInterval: 10 * time.Second}, []logic.Profile{longGoalReadProfile}, nil, readyHost(1, "a", 0), readyHost(2, "a", 1))
+	gw := startGatewayAmong(300, 100,
+		logic.InformationSources{PeersShareInFlight: true, MaxListPollInterval: 10 * time.Second},
+		[]logic.Profile{longGoalReadProfile}, nil, readyHost(1, "a", 0), readyHost(2, "a", 1))
 	waiting, requested := 0, 0
 	runRequests := func(first, count int) {
 		waiting, requested = 0, 0
@@ -1197,7 +1237,9 @@
 	const gatewayCount, gatewayIndex, goal = 300, 100, 200 * ms
 	profile := readProfile
 	profile.ServiceGoal = goal
-	gw := startGatewayAmong(gatewayCount, gatewayIndex, logic.InformationSources{PeersShareInFlight: true, MaxListPollInterval: 10 * time.Second}, []logic.Profile{profile}, nil, readyHost(1, "a", 0), readyHost(2, "a", 1))
+	gw := startGatewayAmong(gatewayCount, gatewayIndex,
+		logic.InformationSources{PeersShareInFlight: true, MaxListPollInterval: 10 * time.Second},
+		[]logic.Profile{profile}, nil, readyHost(1, "a", 0), readyHost(2, "a", 1))
 	id := 0
 	runRequests := func(phase string, responseDelay time.Duration, requests int) {
 		waiting, requested := 0, 0
--- a/logic/retry_test.go
+++ b/logic/retry_test.go
@@ -30,12 +30,14 @@
 
 // startRetryGateway starts a gateway with six hosts. How hops there end is up to run.
 func startRetryGateway(gatewayCount int, budget logic.RetryBudget) *retryGateway {
-	gw := &retryGateway{testGateway: &testGateway{now: time.Second, hopsByHost: map[logic.HostID]int{}, quiet: true}, retriesByProfile: map[int]int{},
-		profileByTx: map[logic.TxID]int{}, hopsByTx: map[logic.TxID]int{}}
+	gw := &retryGateway{testGateway: &testGateway{now: time.Second, hopsByHost: map[logic.HostID]int{}, quiet: true},
+		retriesByProfile: map[int]int{}, profileByTx: map[logic.TxID]int{}, hopsByTx: map[logic.TxID]int{}}
 	gw.Balancer = logic.New(gw, gw.now, 11, logic.Topology{GatewayCount: gatewayCount, Zone: "a", Zones: []string{"a"}},
-		[]logic.Profile{readProfile, paymentProfile}, nil, logic.ColdHostRule{InitialCapacityFraction: 0.25, WarmUpDuration: 8 * time.Second, OverloadMultiple: 4, OverloadDuration: time.Second},
-		logic.DrainRule{}, logic.HopRule{MaxHops: 5, MaxRetryAfter: time.Second, RetryBudget: budget}, logic.InformationSources{MaxListPollInterval: 10 * time.Second},
-		logic.CostModel{})
+		[]logic.Profile{readProfile, paymentProfile}, nil,
+		logic.ColdHostRule{InitialCapacityFraction: 0.25, WarmUpDuration: 8 * time.Second, OverloadMultiple: 4,
+			OverloadDuration: time.Second},
+		logic.DrainRule{}, logic.HopRule{MaxHops: 5, MaxRetryAfter: time.Second, RetryBudget: budget},
+		logic.InformationSources{MaxListPollInterval: 10 * time.Second}, logic.CostModel{})
 	hosts := []logic.Host{}
 	for id := range 6 {
 		hosts = append(hosts, readyHost(logic.HostID(id+1), "a", 1))
@@ -53,7 +55,8 @@
 		for len(gw.pendingHops) > 0 {
 			pending := gw.pendingHops[0]
 			gw.pendingHops = gw.pendingHops[1:]
-			gw.HopEnded(gw.now, pending, gw.hopsByTx[pending]-1, logic.HopResult{Outcome: outcome, Latency: ms, Load: logic.NoLoadReport}, outcome == logic.HopCommitted)
+			gw.HopEnded(gw.now, pending, gw.hopsByTx[pending]-1,
+				logic.HopResult{Outcome: outcome, Latency: ms, Load: logic.NoLoadReport}, outcome == logic.HopCommitted)
 		}
 		gw.advance(interval)
 	}
@@ -84,8 +87,10 @@
 // traffic.
 func TestRetryBudget(t *testing.T) {
 	for _, budget := range []logic.RetryBudget{
-		{BaseRetries: 10, RetriesPerTransaction: 0.05, Window: 5 * time.Second}, {BaseRetries: 0, RetriesPerTransaction: 0.5, Window: time.Second},
-		{BaseRetries: 3, RetriesPerTransaction: 0, Window: 700 * ms}, {BaseRetries: 0, RetriesPerTransaction: 0, Window: time.Second},
+		{BaseRetries: 10, RetriesPerTransaction: 0.05, Window: 5 * time.Second},
+		{BaseRetries: 0, RetriesPerTransaction: 0.5, Window: time.Second},
+		{BaseRetries: 3, RetriesPerTransaction: 0, Window: 700 * ms},
+		{BaseRetries: 0, RetriesPerTransaction: 0, Window: time.Second},
 	} {
 		for _, gatewayCount := range []int{3, 300} {
 			for _, outcome := range []logic.HopOutcome{logic.HopNoConnection, logic.HopError, logic.HopHostFull} {
@@ -97,9 +102,11 @@
 					gw.run(20, 1, 200*ms, outcome)
 				}
 				if excess := gw.maxExcess(budget); excess > 0 {
-					t.Errorf("%+v, %d gateways, hop outcome %d: %.1f retries over the budget in some window", budget, gatewayCount, outcome, excess)
+					t.Errorf("%+v, %d gateways, hop outcome %d: %.1f retries over the budget in some window", budget,
+						gatewayCount, outcome, excess)
 				}
-				if minRetries := budget.BaseRetries + budget.RetriesPerTransaction*100; outcome == logic.HopNoConnection && gatewayCount == 3 && float64(len(gw.retriedAt)) < minRetries {
+				if minRetries := budget.BaseRetries + budget.RetriesPerTransaction*100; outcome == logic.HopNoConnection &&
+					gatewayCount == 3 && float64(len(gw.retriedAt)) < minRetries {
 					t.Errorf("%+v: %d retries in all: the budget is not used", budget, len(gw.retriedAt))
 				}
 			}
--- a/logic/rulechecker_test.go
+++ b/logic/rulechecker_test.go
@@ -40,7 +40,8 @@
 	t := c.txs[id]
 	c.check("a second final answer", t != nil && !t.answered)
 	if t != nil {
-		c.check("rolled back though it may have run", !rolledBack || t.possiblyRanOn == nil && t.hopsInFlight == 0 || t.profile.Effect == logic.Idempotent ||
+		c.check("rolled back though it may have run", !rolledBack || t.possiblyRanOn == nil && t.hopsInFlight == 0 ||
+			t.profile.Effect == logic.Idempotent ||
 			t.profile.Effect == logic.Journalled && t.profile.DedupScope == logic.DedupAllHosts)
 		t.answered = true
 	}
@@ -71,7 +72,8 @@
 
 // hostWithID returns a ready host whose zone, kind and cell depend on its ID.
 func hostWithID(id logic.HostID) logic.Host {
-	return logic.Host{ID: id, Zone: string('a' + rune(id%3)), Kind: []string{"box", "tower"}[id%2], Cell: int(id % 4), State: logic.HostReady, CapacityHint: 1}
+	return logic.Host{ID: id, Zone: string('a' + rune(id%3)), Kind: []string{"box", "tower"}[id%2], Cell: int(id % 4),
+		State: logic.HostReady, CapacityHint: 1}
 }
 
 // The rules hold in every kind of deployment, whatever happens: hosts that are added, drain, go and return, by whole
@@ -81,21 +83,34 @@
 	zoneDedupOrder := orderProfile
 	zoneDedupOrder.DedupScope, zoneDedupOrder.DedupWindow = logic.DedupSameZone, time.Minute
 	profiles := []logic.Profile{readProfile, zoneDedupOrder, paymentProfile}
-	for i, sources := range []logic.InformationSources{{PeersShareInFlight: true, ProbesReportLoad: true}, {ResponsesReportLoad: true}, {ResponsesReportLoad: true, ResponsesReportInFlight: true, ExtraProbesAllowed: true},
-		{CapacityHints: logic.LiveCapacity}, {CapacityHints: logic.NominalCapacity}} {
+	for i, sources := range []logic.InformationSources{
+		{PeersShareInFlight: true, ProbesReportLoad: true},
+		{ResponsesReportLoad: true},
+		{ResponsesReportLoad: true, ResponsesReportInFlight: true, ExtraProbesAllowed: true},
+		{CapacityHints: logic.LiveCapacity},
+		{CapacityHints: logic.NominalCapacity},
+	} {
 		for _, gatewayCount := range []int{2, 300} {
 			received, violations := 0, map[string]int{}
 			for seed := range uint64(8) {
 				random := rand.New(rand.NewPCG(seed, uint64(i)))
-				checker := &ruleChecker{now: time.Second, txs: map[logic.TxID]*checkedTx{}, hostStates: map[logic.HostID]logic.HostState{}, violations: violations}
-				checker.Balancer = logic.New(checker, checker.now, seed, logic.Topology{GatewayCount: gatewayCount, GatewayIndex: 1, Zone: "a", Zones: []string{"a", "b", "c"}},
-					profiles, []logic.Tenant{{Name: "x", QuotaPerSecond: 5}}, logic.ColdHostRule{InitialCapacityFraction: 0.2, WarmUpDuration: 5 * time.Second, OverloadMultiple: 3, OverloadDuration: time.Second},
-					logic.DrainRule{CloseIdleConnections: seed%2 == 0}, logic.HopRule{MaxHops: 4, CallOff: true, MaxBufferedResponses: int(seed % 3), BudgetTolerance: time.Second}, sources, logic.CostModel{})
+				checker := &ruleChecker{now: time.Second, txs: map[logic.TxID]*checkedTx{},
+					hostStates: map[logic.HostID]logic.HostState{}, violations: violations}
+				checker.Balancer = logic.New(checker, checker.now, seed,
+					logic.Topology{GatewayCount: gatewayCount, GatewayIndex: 1, Zone: "a", Zones: []string{"a", "b", "c"}},
+					profiles, []logic.Tenant{{Name: "x", QuotaPerSecond: 5}},
+					logic.ColdHostRule{InitialCapacityFraction: 0.2, WarmUpDuration: 5 * time.Second,
+						OverloadMultiple: 3, OverloadDuration: time.Second},
+					logic.DrainRule{CloseIdleConnections: seed%2 == 0},
+					logic.HopRule{MaxHops: 4, CallOff: true, MaxBufferedResponses: int(seed % 3),
+						BudgetTolerance: time.Second},
+					sources, logic.CostModel{})
 				for range 3000 {
 					checker.randomStep(random, &received)
 				}
 			}
-			fmt.Println(sources.PeersShareInFlight, sources.ResponsesReportLoad, sources.ResponsesReportInFlight, sources.CapacityHints, "gateways:", gatewayCount, "taken:", received > 1000, "violations:", violations)
+			fmt.Println(sources.PeersShareInFlight, sources.ResponsesReportLoad, sources.ResponsesReportInFlight,
+				sources.CapacityHints, "gateways:", gatewayCount, "taken:", received > 1000, "violations:", violations)
 		}
 	}
 	// Output:
@@ -144,12 +159,15 @@
 			c.HostListReceived(c.now, logic.ListFailed, nil)
 		}
 	case 2:
-		c.ProbeEnded(c.now, id, logic.LoadReport{InFlight: float64(random.IntN(9)), Queued: float64(random.IntN(3)), Utilization: random.Float64(), RequestsPerSecond: -1, LatencyMs: -1})
+		c.ProbeEnded(c.now, id, logic.LoadReport{InFlight: float64(random.IntN(9)), Queued: float64(random.IntN(3)),
+			Utilization: random.Float64(), RequestsPerSecond: -1, LatencyMs: -1})
 	case 3, 4, 5, 6:
 		*received++
 		profile := random.IntN(3)
-		c.txs[logic.TxID(*received)] = &checkedTx{profile: []logic.Profile{readProfile, {Effect: logic.Journalled, DedupScope: logic.DedupSameZone}, paymentProfile}[profile]}
-		c.TransactionReceived(c.now, logic.TxID(*received), logic.Arrival{ProfileIndex: profile, TenantIndex: random.IntN(2) - 1, Budget: time.Duration(random.IntN(2000)) * ms})
+		c.txs[logic.TxID(*received)] = &checkedTx{profile: []logic.Profile{readProfile,
+			{Effect: logic.Journalled, DedupScope: logic.DedupSameZone}, paymentProfile}[profile]}
+		c.TransactionReceived(c.now, logic.TxID(*received), logic.Arrival{ProfileIndex: profile,
+			TenantIndex: random.IntN(2) - 1, Budget: time.Duration(random.IntN(2000)) * ms})
 	default:
 		txID := logic.TxID(max(1, *received-random.IntN(9)))
 		t := c.txs[txID]
@@ -169,7 +187,8 @@
 		h := t.hops[hopIndex]
 		t.hops[hopIndex].ID = 0
 		t.hopsInFlight--
-		result := logic.HopResult{Outcome: logic.HopOutcome(random.IntN(8)), Latency: time.Duration(random.IntN(1500)) * ms, Load: logic.NoLoadReport}
+		result := logic.HopResult{Outcome: logic.HopOutcome(random.IntN(8)),
+			Latency: time.Duration(random.IntN(1500)) * ms, Load: logic.NoLoadReport}
 		if !result.Outcome.NeverRan() && t.possiblyRanOn == nil {
 			t.possiblyRanOn = &h
 		}
--- a/logic/testgateway_test.go
+++ b/logic/testgateway_test.go
@@ -38,25 +38,30 @@
 }
 
 // startGatewayAmong starts one of several gateways, with the given sources of information.
-func startGatewayAmong(gatewayCount, gatewayIndex int, sources logic.InformationSources, profiles []logic.Profile, tenants []logic.Tenant,
-	hosts ...logic.Host) *testGateway {
-	return startGatewayWithCosts(gatewayCount, gatewayIndex, sources, logic.CostModel{CrossZoneHop: 0.05}, profiles, tenants, hosts...)
+func startGatewayAmong(gatewayCount, gatewayIndex int, sources logic.InformationSources, profiles []logic.Profile,
+	tenants []logic.Tenant, hosts ...logic.Host) *testGateway {
+	return startGatewayWithCosts(gatewayCount, gatewayIndex, sources, logic.CostModel{CrossZoneHop: 0.05}, profiles,
+		tenants, hosts...)
 }
 
 // startGatewayWithCosts is startGatewayAmong with a cost model.
-func startGatewayWithCosts(gatewayCount, gatewayIndex int, sources logic.InformationSources, costModel logic.CostModel, profiles []logic.Profile,
-	tenants []logic.Tenant, hosts ...logic.Host) *testGateway {
-	return startGatewayWithRules(gatewayCount, gatewayIndex, sources, costModel, logic.DrainRule{}, logic.HopRule{MaxHops: 3, CallOff: true, MaxRetryAfter: time.Second},
+func startGatewayWithCosts(gatewayCount, gatewayIndex int, sources logic.InformationSources, costModel logic.CostModel,
+	profiles []logic.Profile, tenants []logic.Tenant, hosts ...logic.Host) *testGateway {
+	return startGatewayWithRules(gatewayCount, gatewayIndex, sources, costModel, logic.DrainRule{},
+		logic.HopRule{MaxHops: 3, CallOff: true, MaxRetryAfter: time.Second},
 		profiles, tenants, hosts...)
 }
 
 // startGatewayWithRules is startGatewayWithCosts with rules for draining hosts and for hops.
-func startGatewayWithRules(gatewayCount, gatewayIndex int, sources logic.InformationSources, costModel logic.CostModel, drainRule logic.DrainRule, hopRule logic.HopRule,
+func startGatewayWithRules(gatewayCount, gatewayIndex int, sources logic.InformationSources, costModel logic.CostModel,
+	drainRule logic.DrainRule, hopRule logic.HopRule,
 	profiles []logic.Profile, tenants []logic.Tenant, hosts ...logic.Host) *testGateway {
 	gw := &testGateway{now: time.Second, hopsByHost: map[logic.HostID]int{}}
 	gw.Balancer = logic.New(gw, gw.now, uint64(7+gatewayIndex),
-		logic.Topology{GatewayCount: gatewayCount, GatewayIndex: gatewayIndex, Zone: "a", Zones: []string{"a", "b"}}, profiles, tenants,
-		logic.ColdHostRule{InitialCapacityFraction: 0.25, WarmUpDuration: 8 * time.Second, OverloadMultiple: 4, OverloadDuration: time.Second},
+		logic.Topology{GatewayCount: gatewayCount, GatewayIndex: gatewayIndex, Zone: "a", Zones: []string{"a", "b"}},
+		profiles, tenants,
+		logic.ColdHostRule{InitialCapacityFraction: 0.25, WarmUpDuration: 8 * time.Second, OverloadMultiple: 4,
+			OverloadDuration: time.Second},
 		drainRule, hopRule, sources, costModel)
 	gw.HostListReceived(gw.now, logic.ListCached, hosts)
 	return gw
--- a/logic/wronglist_test.go
+++ b/logic/wronglist_test.go
@@ -12,7 +12,8 @@
 // list says before that host 1 drains.
 func hopsAfterWrongList(allowGoneHosts bool, kind logic.ListKind, firstHostState logic.HostState) map[logic.HostID]int {
 	hosts := []logic.Host{readyHost(1, "a", 0), readyHost(2, "a", 0), readyHost(3, "a", 0), readyHost(4, "a", 0)}
-	gw := startGatewayWithRules(60, 3, logic.InformationSources{MaxListPollInterval: 10 * time.Second}, logic.CostModel{}, logic.DrainRule{AllowGoneHosts: allowGoneHosts},
+	gw := startGatewayWithRules(60, 3, logic.InformationSources{MaxListPollInterval: 10 * time.Second},
+		logic.CostModel{}, logic.DrainRule{AllowGoneHosts: allowGoneHosts},
 		logic.HopRule{MaxHops: 3, MaxRetryAfter: time.Second}, []logic.Profile{paymentProfile}, nil, hosts...)
 	gw.quiet = true
 	gw.runCommitted(1, 60, 0)
