--- a/logic/coldfleet_test.go
+++ b/logic/coldfleet_test.go
@@ -11,368 +11,368 @@
 	"spanmux/logic"
 )
 
-// fleet plays gateways, each with a module of its own, against hosts that count what they are sent while cold, in virtual time.
-type fleet struct {
-	now      time.Duration
-	due      events
-	order    int
-	gateways []*player
-	hosts    []*counting
-	shape    shape
-	chance   *rand.Rand
-	rule     logic.ColdHostRule
-	over     string // the first window over what is allowed
-	worst    float64
-	sent     int // to cold hosts
-	deaf     bool
+// fleetSimulation plays gateways, each with a module of its own, against hosts that count what they are sent while cold, in virtual time.
+type fleetSimulation struct {
+	now              time.Duration
+	queue            fleetEventQueue
+	lastSeq          int
+	gateways         []*fleetGateway
+	hosts            []*countingHost
+	scenario         fleetScenario
+	random           *rand.Rand
+	coldRule         logic.ColdHostRule
+	firstViolation   string // the first window over what is allowed
+	maxLimitRatio    float64
+	coldHops         int // to cold hosts
+	dropPeerMessages bool
 }
 
-type shape struct {
-	name     string
-	gateways int
-	told     int // how many the settings say there are; as many as there are where it is 0
-	from     logic.InformationSources
-	deaf     bool          // no gateway hears another from the restart on
-	places   int           // of a host
-	work     time.Duration // of a hop
-	rule     logic.ColdHostRule
-	load     float64 // what comes, of what the hosts can do warm
-	hosts    int     // a third of them start again
-	hangs    int     // hosts that answer nothing from then on
+type fleetScenario struct {
+	name               string
+	gatewayCount       int
+	configuredGateways int // how many the settings say there are; as many as there are where it is 0
+	sources            logic.InformationSources
+	dropPeerMessages   bool          // no gateway hears another from the restart on
+	slotsPerHost       int           // of a host
+	hopTime            time.Duration // of a hop
+	coldRule           logic.ColdHostRule
+	offeredLoad        float64 // what comes, of what the hosts can do warm
+	hostCount          int     // a third of them start again
+	hangingHosts       int     // hosts that answer nothing from then on
 }
 
-type event struct {
-	at    time.Duration
-	order int
-	do    func()
+type fleetEvent struct {
+	at     time.Duration
+	seq    int
+	action func()
 }
 
-type events []event
+type fleetEventQueue []fleetEvent
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
-	return cmp.Or(cmp.Compare(e[i].at, e[j].at), cmp.Compare(e[i].order, e[j].order)) < 0
+func (e fleetEventQueue) Len() int { return len(e) }
+func (e fleetEventQueue) Less(i, j int) bool {
+	return cmp.Or(cmp.Compare(e[i].at, e[j].at), cmp.Compare(e[i].seq, e[j].seq)) < 0
 }
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
-func (e *events) Pop() any {
+func (e fleetEventQueue) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e *fleetEventQueue) Push(x any)   { *e = append(*e, x.(fleetEvent)) }
+func (e *fleetEventQueue) Pop() any {
 	last := (*e)[len(*e)-1]
 	*e = (*e)[:len(*e)-1]
 	return last
 }
 
-func (f *fleet) in(d time.Duration, do func()) {
-	f.order++
-	heap.Push(&f.due, event{f.now + d, f.order, do})
+func (f *fleetSimulation) schedule(delay time.Duration, action func()) {
+	f.lastSeq++
+	heap.Push(&f.queue, fleetEvent{f.now + delay, f.lastSeq, action})
 }
 
-func (f *fleet) run(until time.Duration) {
-	for len(f.due) > 0 && f.due[0].at <= until {
-		e := heap.Pop(&f.due).(event)
+func (f *fleetSimulation) runUntil(end time.Duration) {
+	for len(f.queue) > 0 && f.queue[0].at <= end {
+		e := heap.Pop(&f.queue).(fleetEvent)
 		f.now = e.at
-		e.do()
+		e.action()
 	}
-	f.now = until
+	f.now = end
 }
 
-// counting is a host with some places, slower while cold, that counts what it is sent then.
-type counting struct {
+// countingHost is a host with some places, slower while cold, that counts what it is sent then.
+type countingHost struct {
 	logic.Host
-	f       *fleet
-	free    []time.Duration // when each place is
-	held    int
-	waiting int
-	sent    []time.Duration
-	hangs   bool
+	fleet        *fleetSimulation
+	slotFreeAt   []time.Duration // when each place is
+	inFlight     int
+	queued       int
+	coldHopTimes []time.Duration
+	hangs        bool
 }
 
-// warm is the share of its capacity that a host has now.
-func (c *counting) warm() float64 {
+// capacityFraction is the share of its capacity that a host has now.
+func (c *countingHost) capacityFraction() float64 {
 	if c.StartedAt == 0 {
 		return 1
 	}
-	r := c.f.rule
-	return min(1, r.InitialCapacityFraction+(1-r.InitialCapacityFraction)*float64(c.f.now-c.StartedAt)/float64(r.WarmUpDuration))
+	rule := c.fleet.coldRule
+	return min(1, rule.InitialCapacityFraction+(1-rule.InitialCapacityFraction)*float64(c.fleet.now-c.StartedAt)/float64(rule.WarmUpDuration))
 }
 
-// allowed is what all may send a host within a window that ends now: the settings' multiple of what it can do in that time, and chance.
-func (c *counting) allowed() (budget, most float64) {
-	r := c.f.rule
-	budget = r.OverloadMultiple * c.warm() * float64(c.f.shape.places) * float64(r.OverloadDuration) / float64(c.f.shape.work)
+// hopLimit is what all may send a host within a window that ends now: the settings' multiple of what it can do in that time, and chance.
+func (c *countingHost) hopLimit() (budget, limit float64) {
+	rule := c.fleet.coldRule
+	budget = rule.OverloadMultiple * c.capacityFraction() * float64(c.fleet.scenario.slotsPerHost) * float64(rule.OverloadDuration) / float64(c.fleet.scenario.hopTime)
 	return budget, budget + 2*math.Sqrt(budget) + 2
 }
 
-func (c *counting) takes(done func(took time.Duration, l logic.LoadReport)) {
-	f, came := c.f, c.f.now
-	if c.StartedAt > 0 && f.now-c.StartedAt < f.rule.WarmUpDuration {
-		f.sent++
-		c.sent = append(c.sent, f.now)
-		for c.sent[0] <= f.now-f.rule.OverloadDuration {
-			c.sent = c.sent[1:]
+func (c *countingHost) receiveHop(done func(latency time.Duration, load logic.LoadReport)) {
+	f, receivedAt := c.fleet, c.fleet.now
+	if c.StartedAt > 0 && f.now-c.StartedAt < f.coldRule.WarmUpDuration {
+		f.coldHops++
+		c.coldHopTimes = append(c.coldHopTimes, f.now)
+		for c.coldHopTimes[0] <= f.now-f.coldRule.OverloadDuration {
+			c.coldHopTimes = c.coldHopTimes[1:]
 		}
-		budget, most := c.allowed()
-		f.worst = max(f.worst, float64(len(c.sent))/most)
-		if f.over == "" && float64(len(c.sent)) > most {
-			f.over = fmt.Sprintf("%d in a window at an age of %v, where %.1f are allowed and %.1f with chance", len(c.sent),
-				(f.now - c.StartedAt).Round(10*ms), budget, most)
+		budget, limit := c.hopLimit()
+		f.maxLimitRatio = max(f.maxLimitRatio, float64(len(c.coldHopTimes))/limit)
+		if f.firstViolation == "" && float64(len(c.coldHopTimes)) > limit {
+			f.firstViolation = fmt.Sprintf("%d in a window at an age of %v, where %.1f are allowed and %.1f with chance", len(c.coldHopTimes),
+				(f.now - c.StartedAt).Round(10*ms), budget, limit)
 		}
 	}
 	if c.hangs {
 		return
 	}
-	first := 0
-	for i := range c.free {
-		if c.free[i] < c.free[first] {
-			first = i
+	firstFree := 0
+	for i := range c.slotFreeAt {
+		if c.slotFreeAt[i] < c.slotFreeAt[firstFree] {
+			firstFree = i
 		}
 	}
-	start := max(f.now, c.free[first])
-	c.free[first] = start + time.Duration(float64(f.shape.work)/c.warm())
-	c.held++
-	if start > f.now {
-		c.waiting++
-		f.in(start-f.now, func() { c.waiting-- })
+	startAt := max(f.now, c.slotFreeAt[firstFree])
+	c.slotFreeAt[firstFree] = startAt + time.Duration(float64(f.scenario.hopTime)/c.capacityFraction())
+	c.inFlight++
+	if startAt > f.now {
+		c.queued++
+		f.schedule(startAt-f.now, func() { c.queued-- })
 	}
-	f.in(c.free[first]-f.now, func() {
-		c.held--
-		done(f.now-came, c.load())
+	f.schedule(c.slotFreeAt[firstFree]-f.now, func() {
+		c.inFlight--
+		done(f.now-receivedAt, c.loadReport())
 	})
 }
 
-func (c *counting) load() logic.LoadReport {
-	l := logic.NoLoadReport
-	if from := c.f.shape.from; from.ResponsesReportInFlight || from.ResponsesReportLoad || from.ProbesReportLoad {
-		l.InFlight, l.Queued = float64(c.held), float64(c.waiting)
+func (c *countingHost) loadReport() logic.LoadReport {
+	load := logic.NoLoadReport
+	if sources := c.fleet.scenario.sources; sources.ResponsesReportInFlight || sources.ResponsesReportLoad || sources.ProbesReportLoad {
+		load.InFlight, load.Queued = float64(c.inFlight), float64(c.queued)
 	}
-	if c.f.shape.from.ResponsesReportInFlight {
-		l.Utilization = min(1, float64(c.held)/float64(c.f.shape.places))
+	if c.fleet.scenario.sources.ResponsesReportInFlight {
+		load.Utilization = min(1, float64(c.inFlight)/float64(c.fleet.scenario.slotsPerHost))
 	}
-	return l
+	return load
 }
 
-// player is a gateway: it does what its module wants done.
-type player struct {
+// fleetGateway is a gateway: it does what its module wants done.
+type fleetGateway struct {
 	*logic.Balancer
-	f     *fleet
-	me    int
-	life  int // counts its processes
-	timer int
-	last  logic.TxID
-	txs   map[logic.TxID]*playerTx
-	asked bool
+	fleet        *fleetSimulation
+	index        int
+	processCount int // counts its processes
+	timerCount   int
+	lastTx       logic.TxID
+	txs          map[logic.TxID]*fleetTx
+	listReceived bool
 }
 
-type playerTx struct {
-	over bool
-	hops []bool // ended
+type fleetTx struct {
+	answered bool
+	hopEnded []bool // ended
 }
 
-func (p *player) SendHop(id logic.TxID, to logic.HostID, wait time.Duration) {
-	f, t, life, began := p.f, p.txs[id], p.life, p.f.now
-	i := len(t.hops)
-	t.hops = append(t.hops, false)
-	f.in(ms, func() {
-		f.hosts[to-1].takes(func(took time.Duration, l logic.LoadReport) {
-			f.in(ms, func() {
-				p.ended(life, id, i, logic.HopResult{Outcome: logic.HopCommitted, Latency: f.now - began, Load: l})
+func (p *fleetGateway) SendHop(id logic.TxID, host logic.HostID, timeout time.Duration) {
+	f, tx, process, sentAt := p.fleet, p.txs[id], p.processCount, p.fleet.now
+	hopIndex := len(tx.hopEnded)
+	tx.hopEnded = append(tx.hopEnded, false)
+	f.schedule(ms, func() {
+		f.hosts[host-1].receiveHop(func(latency time.Duration, load logic.LoadReport) {
+			f.schedule(ms, func() {
+				p.endHop(process, id, hopIndex, logic.HopResult{Outcome: logic.HopCommitted, Latency: f.now - sentAt, Load: load})
 			})
 		})
 	})
-	f.in(wait, func() {
-		p.ended(life, id, i, logic.HopResult{Outcome: logic.HopTimedOut, Latency: wait, Load: logic.NoLoadReport})
+	f.schedule(timeout, func() {
+		p.endHop(process, id, hopIndex, logic.HopResult{Outcome: logic.HopTimedOut, Latency: timeout, Load: logic.NoLoadReport})
 	})
 }
 
-func (p *player) ended(life int, id logic.TxID, i int, r logic.HopResult) {
-	t := p.txs[id]
-	if p.life != life || t.hops[i] {
+func (p *fleetGateway) endHop(process int, id logic.TxID, hopIndex int, result logic.HopResult) {
+	tx := p.txs[id]
+	if p.processCount != process || tx.hopEnded[hopIndex] {
 		return
 	}
-	t.hops[i] = true
-	t.over = t.over || r.Outcome == logic.HopCommitted
-	p.HopEnded(p.f.now, id, i, r, t.over)
+	tx.hopEnded[hopIndex] = true
+	tx.answered = tx.answered || result.Outcome == logic.HopCommitted
+	p.HopEnded(p.fleet.now, id, hopIndex, result, tx.answered)
 }
 
-func (p *player) CallOff(id logic.TxID, hop int) {
-	life := p.life
-	p.f.in(0, func() {
-		p.ended(life, id, hop, logic.HopResult{Outcome: logic.HopCalledOff, Latency: p.f.shape.work, Load: logic.NoLoadReport})
+func (p *fleetGateway) CallOff(id logic.TxID, hopIndex int) {
+	process := p.processCount
+	p.fleet.schedule(0, func() {
+		p.endHop(process, id, hopIndex, logic.HopResult{Outcome: logic.HopCalledOff, Latency: p.fleet.scenario.hopTime, Load: logic.NoLoadReport})
 	})
 }
-func (p *player) RollBack(id logic.TxID, after time.Duration) { p.txs[id].over = true }
-func (p *player) Abandon(id logic.TxID)                       { p.txs[id].over = true }
-func (p *player) CloseIdleConnections(id logic.HostID)        {}
-func (p *player) Log(line string)                             {}
-func (p *player) Probe(id logic.HostID) {
-	f, life := p.f, p.life
-	f.in(2*ms, func() {
-		if p.life == life {
-			p.ProbeEnded(f.now, id, f.hosts[id-1].load())
+func (p *fleetGateway) RollBack(id logic.TxID, retryAfter time.Duration) { p.txs[id].answered = true }
+func (p *fleetGateway) Abandon(id logic.TxID)                            { p.txs[id].answered = true }
+func (p *fleetGateway) CloseIdleConnections(id logic.HostID)             {}
+func (p *fleetGateway) Log(line string)                                  {}
+func (p *fleetGateway) Probe(id logic.HostID) {
+	f, process := p.fleet, p.processCount
+	f.schedule(2*ms, func() {
+		if p.processCount == process {
+			p.ProbeEnded(f.now, id, f.hosts[id-1].loadReport())
 		}
 	})
 }
-func (p *player) SendPeerMessage(to int, held []logic.PeerEntry) {
-	if p.f.deaf {
+func (p *fleetGateway) SendPeerMessage(to int, entries []logic.PeerEntry) {
+	if p.fleet.dropPeerMessages {
 		return
 	}
-	f, copied := p.f, append([]logic.PeerEntry{}, held...)
-	f.in(2*ms, func() {
-		for i, q := range f.gateways {
-			if q != p && (to == i || to < 0) {
-				q.PeerMessageReceived(f.now, p.me, copied)
+	f, entriesCopy := p.fleet, append([]logic.PeerEntry{}, entries...)
+	f.schedule(2*ms, func() {
+		for i, other := range f.gateways {
+			if other != p && (to == i || to < 0) {
+				other.PeerMessageReceived(f.now, p.index, entriesCopy)
 			}
 		}
 	})
 }
-func (p *player) RequestHostList() {
-	f, life := p.f, p.life
-	f.in(5*ms, func() {
-		if p.life == life {
-			p.asked = true
-			p.HostListReceived(f.now, logic.ListComplete, f.list())
+func (p *fleetGateway) RequestHostList() {
+	f, process := p.fleet, p.processCount
+	f.schedule(5*ms, func() {
+		if p.processCount == process {
+			p.listReceived = true
+			p.HostListReceived(f.now, logic.ListComplete, f.currentList())
 		}
 	})
 }
-func (p *player) SetTimer(in time.Duration) {
-	p.timer++
-	life, timer := p.life, p.timer
-	p.f.in(in, func() {
-		if p.life == life && p.timer == timer {
-			p.TimerFired(p.f.now)
+func (p *fleetGateway) SetTimer(delay time.Duration) {
+	p.timerCount++
+	process, timer := p.processCount, p.timerCount
+	p.fleet.schedule(delay, func() {
+		if p.processCount == process && p.timerCount == timer {
+			p.TimerFired(p.fleet.now)
 		}
 	})
 }
 
-func (f *fleet) list() (all []logic.Host) {
-	for _, c := range f.hosts {
-		h := c.Host
-		if f.shape.from.CapacityHints == logic.LiveCapacity {
-			h.CapacityHint = 1 / (1 + float64(c.held)/float64(f.shape.places))
+func (f *fleetSimulation) currentList() (hosts []logic.Host) {
+	for _, host := range f.hosts {
+		entry := host.Host
+		if f.scenario.sources.CapacityHints == logic.LiveCapacity {
+			entry.CapacityHint = 1 / (1 + float64(host.inFlight)/float64(f.scenario.slotsPerHost))
 		}
-		all = append(all, h)
+		hosts = append(hosts, entry)
 	}
-	return all
+	return hosts
 }
 
-// start begins a process of a gateway; one that was there before is gone with all that it knew.
-func (p *player) start() {
-	f := p.f
-	p.life++
-	p.txs, p.asked = map[logic.TxID]*playerTx{}, false
-	profile := logic.Profile{Name: "read", Effect: logic.Idempotent, ServiceGoal: 20 * f.shape.work, Revenue: 1}
-	p.Balancer = logic.New(p, f.now, uint64(1000*p.life+p.me), logic.Topology{GatewayCount: cmp.Or(f.shape.told, f.shape.gateways), GatewayIndex: p.me, Zone: "a",
-		Zones: []string{"a"}}, []logic.Profile{profile}, nil, f.rule, logic.DrainRule{},
-		logic.HopRule{MaxHops: 2, CallOff: true, MaxRetryAfter: time.Second}, f.shape.from, logic.CostModel{})
-	p.HostListReceived(f.now, logic.ListComplete, f.list())
+// startProcess begins a process of a gateway; one that was there before is gone with all that it knew.
+func (p *fleetGateway) startProcess() {
+	f := p.fleet
+	p.processCount++
+	p.txs, p.listReceived = map[logic.TxID]*fleetTx{}, false
+	profile := logic.Profile{Name: "read", Effect: logic.Idempotent, ServiceGoal: 20 * f.scenario.hopTime, Revenue: 1}
+	p.Balancer = logic.New(p, f.now, uint64(1000*p.processCount+p.index), logic.Topology{GatewayCount: cmp.Or(f.scenario.configuredGateways, f.scenario.gatewayCount), GatewayIndex: p.index, Zone: "a",
+		Zones: []string{"a"}}, []logic.Profile{profile}, nil, f.coldRule, logic.DrainRule{},
+		logic.HopRule{MaxHops: 2, CallOff: true, MaxRetryAfter: time.Second}, f.scenario.sources, logic.CostModel{})
+	p.HostListReceived(f.now, logic.ListComplete, f.currentList())
 }
 
-// comes has transactions come to a gateway by chance, so many a second.
-func (p *player) comes(rate float64) {
-	f := p.f
-	f.in(time.Duration(f.chance.ExpFloat64()/rate*float64(time.Second)), func() {
-		p.last++
-		p.txs[p.last] = &playerTx{}
-		p.TransactionReceived(f.now, p.last, logic.Arrival{TenantIndex: -1, Budget: 40 * f.shape.work})
-		p.comes(rate)
+// scheduleArrival has transactions come to a gateway by chance, so many a second.
+func (p *fleetGateway) scheduleArrival(perSecond float64) {
+	f := p.fleet
+	f.schedule(time.Duration(f.random.ExpFloat64()/perSecond*float64(time.Second)), func() {
+		p.lastTx++
+		p.txs[p.lastTx] = &fleetTx{}
+		p.TransactionReceived(f.now, p.lastTx, logic.Arrival{TenantIndex: -1, Budget: 40 * f.scenario.hopTime})
+		p.scheduleArrival(perSecond)
 	})
 }
 
-// play has a third of the hosts start again while half of the gateways do.
-func play(s shape, seed uint64) *fleet {
-	hosts := s.hosts
-	f := &fleet{now: time.Hour, shape: s, chance: rand.New(rand.NewPCG(seed, 7)),
-		rule: s.rule}
-	for i := range hosts {
-		f.hosts = append(f.hosts, &counting{Host: logic.Host{ID: logic.HostID(i + 1), Zone: "a", Kind: "box", State: logic.HostReady, CapacityHint: 1}, f: f,
-			free: make([]time.Duration, s.places)})
+// runRestart has a third of the hosts start again while half of the gateways do.
+func runRestart(scenario fleetScenario, seed uint64) *fleetSimulation {
+	hostCount := scenario.hostCount
+	f := &fleetSimulation{now: time.Hour, scenario: scenario, random: rand.New(rand.NewPCG(seed, 7)),
+		coldRule: scenario.coldRule}
+	for i := range hostCount {
+		f.hosts = append(f.hosts, &countingHost{Host: logic.Host{ID: logic.HostID(i + 1), Zone: "a", Kind: "box", State: logic.HostReady, CapacityHint: 1}, fleet: f,
+			slotFreeAt: make([]time.Duration, scenario.slotsPerHost)})
 	}
-	all := s.load * float64(hosts*s.places) * float64(time.Second) / float64(s.work) // of what the hosts can do
-	weights := 0.0
-	for i := range s.gateways {
-		weights += 1 / float64(1+i%5)
+	totalRate := scenario.offeredLoad * float64(hostCount*scenario.slotsPerHost) * float64(time.Second) / float64(scenario.hopTime) // of what the hosts can do
+	totalWeight := 0.0
+	for i := range scenario.gatewayCount {
+		totalWeight += 1 / float64(1+i%5)
 	}
-	for i := range s.gateways { // some get five times as much as others
-		p := &player{f: f, me: i}
-		f.gateways = append(f.gateways, p)
-		p.start()
-		p.comes(all / float64(1+i%5) / weights)
+	for i := range scenario.gatewayCount { // some get five times as much as others
+		gateway := &fleetGateway{fleet: f, index: i}
+		f.gateways = append(f.gateways, gateway)
+		gateway.startProcess()
+		gateway.scheduleArrival(totalRate / float64(1+i%5) / totalWeight)
 	}
-	news := func() {
-		for _, p := range f.gateways {
-			f.in(time.Duration(f.chance.IntN(200))*ms, func() { p.HostListReceived(f.now, logic.ListComplete, f.list()) })
+	sendLists := func() {
+		for _, gateway := range f.gateways {
+			f.schedule(time.Duration(f.random.IntN(200))*ms, func() { gateway.HostListReceived(f.now, logic.ListComplete, f.currentList()) })
 		}
 	}
 	for second := range 26 {
-		f.in(time.Duration(second)*time.Second, func() {
-			if s.from.CapacityHints == logic.LiveCapacity {
-				news()
+		f.schedule(time.Duration(second)*time.Second, func() {
+			if scenario.sources.CapacityHints == logic.LiveCapacity {
+				sendLists()
 			}
 		})
 	}
-	f.run(f.now + 12*time.Second)
-	for _, c := range f.hosts[:hosts/3] {
-		c.StartedAt = f.now
+	f.runUntil(f.now + 12*time.Second)
+	for _, host := range f.hosts[:hostCount/3] {
+		host.StartedAt = f.now
 	}
-	f.deaf = s.deaf
-	for _, c := range f.hosts[hosts-s.hangs:] {
-		c.hangs = true
+	f.dropPeerMessages = scenario.dropPeerMessages
+	for _, host := range f.hosts[hostCount-scenario.hangingHosts:] {
+		host.hangs = true
 	}
-	news()
-	for i, p := range f.gateways {
+	sendLists()
+	for i, gateway := range f.gateways {
 		if i%2 == 0 {
-			f.in(time.Duration(300+f.chance.IntN(1500))*ms, p.start)
+			f.schedule(time.Duration(300+f.random.IntN(1500))*ms, gateway.startProcess)
 		}
 	}
-	f.run(f.now + 9*time.Second)
+	f.runUntil(f.now + 9*time.Second)
 	return f
 }
 
-var coldShapes = []shape{
-	{name: "telling", gateways: 30, from: logic.InformationSources{PeersShareInFlight: true, ProbesReportLoad: true, MaxListPollInterval: 10 * time.Second}},
-	{name: "telling, held said in answers", gateways: 30, from: logic.InformationSources{PeersShareInFlight: true, ResponsesReportInFlight: true, ResponsesReportLoad: true, MaxListPollInterval: 10 * time.Second}},
-	{name: "telling, unheard", gateways: 30, deaf: true, from: logic.InformationSources{PeersShareInFlight: true, ProbesReportLoad: true, MaxListPollInterval: 10 * time.Second}},
-	{name: "held said in answers", gateways: 30, from: logic.InformationSources{ResponsesReportInFlight: true, ResponsesReportLoad: true, MaxListPollInterval: 10 * time.Second}},
-	{name: "probed", gateways: 30, from: logic.InformationSources{ProbesReportLoad: true, MaxListPollInterval: 10 * time.Second}},
-	{name: "blind", gateways: 30, from: logic.InformationSources{MaxListPollInterval: 10 * time.Second}},
-	{name: "live sizes", gateways: 30, from: logic.InformationSources{CapacityHints: logic.LiveCapacity, MaxListPollInterval: 10 * time.Second}},
-	{name: "few, telling", gateways: 6, from: logic.InformationSources{PeersShareInFlight: true, ProbesReportLoad: true, MaxListPollInterval: 10 * time.Second}},
-	{name: "few, blind", gateways: 6, from: logic.InformationSources{MaxListPollInterval: 10 * time.Second}},
-	{name: "twenty, blind", gateways: 20, from: logic.InformationSources{MaxListPollInterval: 10 * time.Second}},
+var coldSourceCases = []fleetScenario{
+	{name: "telling", gatewayCount: 30, sources: logic.InformationSources{PeersShareInFlight: true, ProbesReportLoad: true, MaxListPollInterval: 10 * time.Second}},
+	{name: "telling, held said in answers", gatewayCount: 30, sources: logic.InformationSources{PeersShareInFlight: true, ResponsesReportInFlight: true, ResponsesReportLoad: true, MaxListPollInterval: 10 * time.Second}},
+	{name: "telling, unheard", gatewayCount: 30, dropPeerMessages: true, sources: logic.InformationSources{PeersShareInFlight: true, ProbesReportLoad: true, MaxListPollInterval: 10 * time.Second}},
+	{name: "held said in answers", gatewayCount: 30, sources: logic.InformationSources{ResponsesReportInFlight: true, ResponsesReportLoad: true, MaxListPollInterval: 10 * time.Second}},
+	{name: "probed", gatewayCount: 30, sources: logic.InformationSources{ProbesReportLoad: true, MaxListPollInterval: 10 * time.Second}},
+	{name: "blind", gatewayCount: 30, sources: logic.InformationSources{MaxListPollInterval: 10 * time.Second}},
+	{name: "live sizes", gatewayCount: 30, sources: logic.InformationSources{CapacityHints: logic.LiveCapacity, MaxListPollInterval: 10 * time.Second}},
+	{name: "few, telling", gatewayCount: 6, sources: logic.InformationSources{PeersShareInFlight: true, ProbesReportLoad: true, MaxListPollInterval: 10 * time.Second}},
+	{name: "few, blind", gatewayCount: 6, sources: logic.InformationSources{MaxListPollInterval: 10 * time.Second}},
+	{name: "twenty, blind", gatewayCount: 20, sources: logic.InformationSources{MaxListPollInterval: 10 * time.Second}},
 }
 
 var (
-	usualCold = logic.ColdHostRule{InitialCapacityFraction: 0.25, WarmUpDuration: 8 * time.Second, OverloadMultiple: 4, OverloadDuration: time.Second}
-	tightCold = logic.ColdHostRule{InitialCapacityFraction: 0.12, WarmUpDuration: 20 * time.Second, OverloadMultiple: 2.5, OverloadDuration: 1500 * ms}
-	coldDays  = []shape{ // of hosts' sizes; small budgets are those that a hop from each gateway breaks
-		{name: "usual, hosts hang", places: 4, work: 100 * ms, rule: usualCold, load: 0.8, hosts: 12, hangs: 6},
-		{name: "tight, hosts hang", places: 4, work: 100 * ms, rule: tightCold, load: 1, hosts: 12, hangs: 6},
-		{name: "tight, small hosts", places: 1, work: 200 * ms, rule: tightCold, load: 0.8, hosts: 60, hangs: 30},
-		{name: "tight, tiny hosts", places: 1, work: 600 * ms, rule: tightCold, load: 1, hosts: 100, hangs: 50},
-		{name: "tight, one small host left", places: 1, work: 200 * ms, rule: tightCold, load: 30, hosts: 3, hangs: 2},
+	usualColdRule  = logic.ColdHostRule{InitialCapacityFraction: 0.25, WarmUpDuration: 8 * time.Second, OverloadMultiple: 4, OverloadDuration: time.Second}
+	strictColdRule = logic.ColdHostRule{InitialCapacityFraction: 0.12, WarmUpDuration: 20 * time.Second, OverloadMultiple: 2.5, OverloadDuration: 1500 * ms}
+	coldHostCases  = []fleetScenario{ // of hosts' sizes; small budgets are those that a hop from each gateway breaks
+		{name: "usual, hosts hang", slotsPerHost: 4, hopTime: 100 * ms, coldRule: usualColdRule, offeredLoad: 0.8, hostCount: 12, hangingHosts: 6},
+		{name: "tight, hosts hang", slotsPerHost: 4, hopTime: 100 * ms, coldRule: strictColdRule, offeredLoad: 1, hostCount: 12, hangingHosts: 6},
+		{name: "tight, small hosts", slotsPerHost: 1, hopTime: 200 * ms, coldRule: strictColdRule, offeredLoad: 0.8, hostCount: 60, hangingHosts: 30},
+		{name: "tight, tiny hosts", slotsPerHost: 1, hopTime: 600 * ms, coldRule: strictColdRule, offeredLoad: 1, hostCount: 100, hangingHosts: 50},
+		{name: "tight, one small host left", slotsPerHost: 1, hopTime: 200 * ms, coldRule: strictColdRule, offeredLoad: 30, hostCount: 3, hangingHosts: 2},
 	}
 )
 
-func (s shape) on(day shape) shape {
-	s.places, s.work, s.rule, s.load, s.hosts, s.hangs = day.places, day.work, day.rule, day.load, day.hosts, day.hangs
-	return s
+func (scenario fleetScenario) withHostsOf(hostCase fleetScenario) fleetScenario {
+	scenario.slotsPerHost, scenario.hopTime, scenario.coldRule, scenario.offeredLoad, scenario.hostCount, scenario.hangingHosts = hostCase.slotsPerHost, hostCase.hopTime, hostCase.coldRule, hostCase.offeredLoad, hostCase.hostCount, hostCase.hangingHosts
+	return scenario
 }
 
 // What thirty gateways send a cold host in any window stays within what the settings allow, N, and chance, 2 x root of N + 2, whatever they learn
 // by; half of them have just been started, and some get five times what others do. As each might send one hop however small its share, thirty sent
 // a host of which N was 3 twice what chance explains, and twenty more: they had no lot to draw at all.
 func Example_coldFleet() {
-	for _, day := range coldDays {
-		worst, sent := 0.0, 0
-		for _, s := range coldShapes {
+	for _, hostCase := range coldHostCases {
+		maxRatio, coldHops := 0.0, 0
+		for _, sourceCase := range coldSourceCases {
 			for seed := range uint64(2) {
-				f := play(s.on(day), seed)
-				worst, sent = max(worst, f.worst), sent+f.sent
-				if f.over != "" {
-					fmt.Printf("%s, %s: %s\n", day.name, s.name, f.over)
+				f := runRestart(sourceCase.withHostsOf(hostCase), seed)
+				maxRatio, coldHops = max(maxRatio, f.maxLimitRatio), coldHops+f.coldHops
+				if f.firstViolation != "" {
+					fmt.Printf("%s, %s: %s\n", hostCase.name, sourceCase.name, f.firstViolation)
 				}
 			}
 		}
-		fmt.Printf("%s: cold hosts get some: %t, within what is allowed: %t\n", day.name, sent > 100, worst <= 1)
+		fmt.Printf("%s: cold hosts get some: %t, within what is allowed: %t\n", hostCase.name, coldHops > 100, maxRatio <= 1)
 	}
 	// Output:
 	// usual, hosts hang: cold hosts get some: true, within what is allowed: true
@@ -384,16 +384,16 @@
 
 // Where settings say a wrong number of gateways, each goes by that: too high a one only warms hosts more slowly; with a third of those there are all
 // may send three times their shares, and nothing that a gateway learns tells it so.
-func Example_coldFleet_miscounted() {
-	for _, told := range []int{90, 30, 10} {
-		worst := 0.0
-		for _, s := range coldShapes[:6] { // those of thirty
-			s.told = told
+func Example_coldFleet_wrongGatewayCount() {
+	for _, configured := range []int{90, 30, 10} {
+		maxRatio := 0.0
+		for _, sourceCase := range coldSourceCases[:6] { // those of thirty
+			sourceCase.configuredGateways = configured
 			for seed := range uint64(2) {
-				worst = max(worst, play(s.on(coldDays[4]), seed).worst)
+				maxRatio = max(maxRatio, runRestart(sourceCase.withHostsOf(coldHostCases[4]), seed).maxLimitRatio)
 			}
 		}
-		fmt.Printf("%d said, 30 there: within what is allowed: %t\n", told, worst <= 1)
+		fmt.Printf("%d said, 30 there: within what is allowed: %t\n", configured, maxRatio <= 1)
 	}
 	// Output:
 	// 90 said, 30 there: within what is allowed: true
--- a/logic/day_test.go
+++ b/logic/day_test.go
@@ -14,565 +14,565 @@
 
 // deployment is all that a played day is made of: hosts, what transactions ask of them, and what gateways learn.
 type deployment struct {
-	sources   string // what gateways learn, in words
-	from      logic.InformationSources
-	fields    string // of load reports: held, waiting, busy, rate
-	gateways  int
-	zones     int
-	hosts     int
-	cores     int // of a host
-	slots     int // of a host: hops that it works on or that wait for others
-	shares    bool
-	slowest   float64 // speed of the slower kind of host, of the other's
-	inUse     float64 // part of its cores that the slower kind needs, were transactions spread evenly
-	work      string  // how work is spread: constant, exponential, lognormal
-	spread    float64 // of lognormal work
-	waits     float64 // times the work that a transaction waits for others
-	profiles  []profileMix
-	tenants   int
-	keys      int     // distinct ones, 0 for none
-	keySaves  float64 // part of the work that a host saves on a key that it has met lately
-	price     logic.CostModel
-	hops      logic.HopRule
-	length    time.Duration // for which clients come
-	seed      uint64
-	perSecond float64 // transactions, over all gateways
-}
-
-type profileMix struct {
+	sourcesName       string // what gateways learn, in words
+	infoSources       logic.InformationSources
+	reportedFields    string // of load reports: held, waiting, busy, rate
+	gatewayCount      int
+	zoneCount         int
+	hostCount         int
+	coresPerHost      int // of a host
+	slotsPerHost      int // of a host: hops that it works on or that wait for others
+	sharesCores       bool
+	slowKindSpeed     float64 // speed of the slower kind of host, of the other's
+	targetUtilization float64 // part of its cores that the slower kind needs, were transactions spread evenly
+	workDistribution  string  // how work is spread: constant, exponential, lognormal
+	lognormalSigma    float64 // of lognormal work
+	waitToWorkRatio   float64 // times the work that a transaction waits for others
+	profiles          []simProfile
+	tenantCount       int
+	keyCount          int     // distinct ones, 0 for none
+	cachedKeySaving   float64 // part of the work that a host saves on a key that it has met lately
+	costModel         logic.CostModel
+	hopRule           logic.HopRule
+	arrivalDuration   time.Duration // for which clients come
+	seed              uint64
+	txPerSecond       float64 // transactions, over all gateways
+}
+
+type simProfile struct {
 	logic.Profile
-	share float64
-	work  time.Duration // mean
-	goal  float64       // service goal in mean times at a free host, at the least
+	trafficFraction float64
+	meanWork        time.Duration // mean
+	minGoalMultiple float64       // service goal in mean times at a free host, at the least
 }
 
-func (p deployment) String() string {
-	work := p.work
-	if p.work == "lognormal" {
-		work = fmt.Sprintf("lognormal %.1f", p.spread)
+func (d deployment) String() string {
+	work := d.workDistribution
+	if d.workDistribution == "lognormal" {
+		work = fmt.Sprintf("lognormal %.1f", d.lognormalSigma)
 	}
 	var goals []string
-	for _, k := range p.profiles {
-		goals = append(goals, fmt.Sprintf("%d/%d", k.work/ms, k.ServiceGoal/ms))
+	for _, profile := range d.profiles {
+		goals = append(goals, fmt.Sprintf("%d/%d", profile.meanWork/ms, profile.ServiceGoal/ms))
 	}
 	return fmt.Sprintf("%s, %d gateways at %.2g/s, %dx%d cores in %d zones, %d%% in use, "+
 		"work %s, waits x%.1f, work/goal %s, tenants %d, keys %d",
-		p.sources, p.gateways, p.perSecond/float64(p.gateways), p.hosts, p.cores, p.zones, int(100*p.inUse), work, p.waits,
-		strings.Join(goals, " "), p.tenants, p.keys)
+		d.sourcesName, d.gatewayCount, d.txPerSecond/float64(d.gatewayCount), d.hostCount, d.coresPerHost, d.zoneCount, int(100*d.targetUtilization), work, d.waitToWorkRatio,
+		strings.Join(goals, " "), d.tenantCount, d.keyCount)
 }
 
 const (
-	nearby     = 500 * time.Microsecond // one way within a zone
-	across     = 2 * ms                 // the same between zones
-	listEach   = 500 * ms               // between lists of live sizes
-	listLate   = 2                      // such steps by which a list is late
-	keyHeld    = 8 * time.Second        // for which a host remembers a key
-	reportOver = time.Second            // over which reports of utilisation and rate are smoothed
+	sameZoneLatency     = 500 * time.Microsecond // one way within a zone
+	crossZoneLatency    = 2 * ms                 // the same between zones
+	listInterval        = 500 * ms               // between lists of live sizes
+	listDelayIntervals  = 2                      // such steps by which a list is late
+	cachedKeyTTL        = 8 * time.Second        // for which a host remembers a key
+	reportSmoothingTime = time.Second            // over which reports of utilisation and rate are smoothed
 )
 
-// day plays a deployment in virtual time: clients arrive by chance, alike at all times, and each gateway is a Balancer of its own. All
+// simulation plays a deployment in virtual time: clients arrive by chance, alike at all times, and each gateway is a Balancer of its own. All
 // chance is by the seed; what a transaction asks for does not depend on what becomes of it.
-type day struct {
+type simulation struct {
 	deployment
-	now      time.Duration
-	events   eventQueue
-	seq      int
-	clients  *rand.Rand
-	luck     *rand.Rand // of all else
-	hosted   []*playedHost
-	balanced []*playedGateway
-	txs      []*playedTx
-	logged   []string
-	sizes    [][]logic.Host // of late, the newest last
+	now          time.Duration
+	events       eventQueue
+	lastSeq      int
+	clientRandom *rand.Rand
+	otherRandom  *rand.Rand // of all else
+	hosts        []*simHost
+	gateways     []*simGateway
+	transactions []*simTx
+	logLines     []string
+	recentLists  [][]logic.Host // of late, the newest last
 
-	goesOn    bool // hosts go on with a hop that is given up
-	queueMost int  // hops that may wait at a host, at the least as many as it has slots
+	hostsIgnoreCancellation bool // hosts go on with a hop that is given up
+	queueLimit              int  // hops that may wait at a host, at the least as many as it has slots
 
-	fails func(k *playedHop) (logic.HopOutcome, bool)              // a hop that ends at once in that way, or without an answer
-	drags func(k *playedHop) time.Duration                         // what it waits besides, in its slot
-	says  func(h *playedHost, l logic.LoadReport) logic.LoadReport // what a host reports in place of l
-	away  func(g *playedGateway, h *playedHost) time.Duration      // what the way between these takes besides, each way
+	failHop        func(hop *simHop) (logic.HopOutcome, bool)               // a hop that ends at once in that way, or without an answer
+	extraWait      func(hop *simHop) time.Duration                          // what it waits besides, in its slot
+	overrideReport func(h *simHost, load logic.LoadReport) logic.LoadReport // what a host reports in place of l
+	extraLatency   func(g *simGateway, h *simHost) time.Duration            // what the way between these takes besides, each way
 }
 
-type dayEvent struct {
-	at  time.Duration
-	seq int
-	do  func()
+type simEvent struct {
+	at     time.Duration
+	seq    int
+	action func()
 }
 
-type eventQueue []dayEvent
+type eventQueue []simEvent
 
 func (q eventQueue) Len() int { return len(q) }
 func (q eventQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *eventQueue) Push(x any)   { *q = append(*q, x.(dayEvent)) }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(simEvent)) }
 func (q *eventQueue) Pop() any {
 	last := (*q)[len(*q)-1]
 	*q = (*q)[:len(*q)-1]
 	return last
 }
 
-func (d *day) after(in time.Duration, do func()) {
-	d.seq++
-	heap.Push(&d.events, dayEvent{d.now + max(0, in), d.seq, do})
+func (sim *simulation) schedule(delay time.Duration, action func()) {
+	sim.lastSeq++
+	heap.Push(&sim.events, simEvent{sim.now + max(0, delay), sim.lastSeq, action})
 }
 
-// playedTx is a transaction with what becomes of it.
-type playedTx struct {
-	id       logic.TxID
-	at       time.Duration
-	gateway  *playedGateway
-	profile  int
-	tenant   int
-	key      uint32
-	work     time.Duration
-	waits    time.Duration
-	hops     []*playedHop
-	answered bool
-	how      string // committed, rolled back, abandoned, left
-	took     time.Duration
+// simTx is a transaction with what becomes of it.
+type simTx struct {
+	id           logic.TxID
+	arrivedAt    time.Duration
+	gateway      *simGateway
+	profileIndex int
+	tenantIndex  int
+	affinityKey  uint32
+	work         time.Duration
+	waitTime     time.Duration
+	hops         []*simHop
+	answered     bool
+	outcome      string // committed, rolled back, abandoned, left
+	latency      time.Duration
 }
 
-func (t *playedTx) answer(now time.Duration, how string) {
+func (t *simTx) recordAnswer(now time.Duration, outcome string) {
 	if !t.answered {
-		t.answered, t.how, t.took = true, how, now-t.at
+		t.answered, t.outcome, t.latency = true, outcome, now-t.arrivedAt
 	}
 }
 
-type playedHop struct {
-	*playedTx
-	number int
-	host   *playedHost
-	sent   time.Duration
-	begun  time.Duration // its work there
-	left   float64       // of its work, nanoseconds on a core of speed 1
-	ended  bool          // at the gateway
-	gone   bool          // from the host
+type simHop struct {
+	*simTx
+	hopIndex       int
+	host           *simHost
+	sentAt         time.Duration
+	startedAt      time.Duration // its work there
+	remainingWork  float64       // of its work, nanoseconds on a core of speed 1
+	endedAtGateway bool          // at the gateway
+	leftHost       bool          // from the host
 }
 
-// playedHost works on its hops on so many cores, which all share or the first have; a hop that waits for others holds a slot and no core.
-type playedHost struct {
-	*day
+// simHost works on its hops on so many cores, which all share or the first have; a hop that waits for others holds a slot and no core.
+type simHost struct {
+	*simulation
 	logic.Host
-	speed   float64
-	working []*playedHop // in order
-	idle    []*playedHop // that wait for others, in their slots
-	queue   []*playedHop // that wait for a slot
-	since   time.Duration
-	version int // of its next dayEvent
-	used    float64
-	rate    float64 // answers a second
-	took    float64 // by them, milliseconds
-	met     map[uint32]time.Duration
+	speed               float64
+	working             []*simHop // in order
+	waiting             []*simHop // that wait for others, in their slots
+	queued              []*simHop // that wait for a slot
+	advancedAt          time.Duration
+	nextEventVersion    int // of its next dayEvent
+	smoothedUtilization float64
+	answersPerSecond    float64 // answers a second
+	meanLatencyMs       float64 // by them, milliseconds
+	keyLastSeen         map[uint32]time.Duration
 }
 
-func (h *playedHost) pace(i int) float64 {
-	if h.shares {
-		return h.speed * min(1, float64(h.cores)/float64(len(h.working)))
+func (h *simHost) hopSpeed(i int) float64 {
+	if h.sharesCores {
+		return h.speed * min(1, float64(h.coresPerHost)/float64(len(h.working)))
 	}
-	return map[bool]float64{true: h.speed}[i < h.cores]
+	return map[bool]float64{true: h.speed}[i < h.coresPerHost]
 }
 
 // advance works until now.
-func (h *playedHost) advance() {
-	dt := h.now - h.since
-	h.since = h.now
-	for i, k := range h.working {
-		k.left -= h.pace(i) * float64(dt)
-	}
-	old := math.Exp(-float64(dt) / float64(reportOver))
-	h.used = h.used*old + (1-old)*min(1, float64(len(h.working))/float64(h.cores))
-	h.rate *= old
-}
-
-// next has it go on when the first of its hops is through.
-func (h *playedHost) next() {
-	for len(h.queue) > 0 && len(h.working)+len(h.idle) < h.slots {
-		k := h.queue[0]
-		k.begun = h.now
-		h.working, h.queue = append(h.working, k), h.queue[1:]
-	}
-	first := math.Inf(1)
-	for i, k := range h.working {
-		if p := h.pace(i); p > 0 {
-			first = min(first, max(0, k.left)/p)
+func (h *simHost) advance() {
+	elapsed := h.now - h.advancedAt
+	h.advancedAt = h.now
+	for i, hop := range h.working {
+		hop.remainingWork -= h.hopSpeed(i) * float64(elapsed)
+	}
+	decay := math.Exp(-float64(elapsed) / float64(reportSmoothingTime))
+	h.smoothedUtilization = h.smoothedUtilization*decay + (1-decay)*min(1, float64(len(h.working))/float64(h.coresPerHost))
+	h.answersPerSecond *= decay
+}
+
+// scheduleNext has it go on when the first of its hops is through.
+func (h *simHost) scheduleNext() {
+	for len(h.queued) > 0 && len(h.working)+len(h.waiting) < h.slotsPerHost {
+		hop := h.queued[0]
+		hop.startedAt = h.now
+		h.working, h.queued = append(h.working, hop), h.queued[1:]
+	}
+	firstDone := math.Inf(1)
+	for i, hop := range h.working {
+		if speed := h.hopSpeed(i); speed > 0 {
+			firstDone = min(firstDone, max(0, hop.remainingWork)/speed)
 		}
 	}
-	if h.version++; math.IsInf(first, 1) {
+	if h.nextEventVersion++; math.IsInf(firstDone, 1) {
 		return
 	}
-	version := h.version
-	h.after(time.Duration(math.Ceil(first)), func() {
-		if version == h.version {
+	version := h.nextEventVersion
+	h.schedule(time.Duration(math.Ceil(firstDone)), func() {
+		if version == h.nextEventVersion {
 			h.advance()
-			h.through()
+			h.finishWork()
 		}
 	})
 }
 
-// through takes out what has had its work.
-func (h *playedHost) through() {
+// finishWork takes out what has had its work.
+func (h *simHost) finishWork() {
 	for i := 0; i < len(h.working); i++ {
-		k := h.working[i]
-		if k.left >= 1 {
+		hop := h.working[i]
+		if hop.remainingWork >= 1 {
 			continue
 		}
 		h.working = slices.Delete(h.working, i, i+1)
 		i--
-		h.idle = append(h.idle, k)
-		waits := k.waits
-		if h.drags != nil {
-			waits += h.drags(k)
+		h.waiting = append(h.waiting, hop)
+		waitTime := hop.waitTime
+		if h.extraWait != nil {
+			waitTime += h.extraWait(hop)
 		}
-		h.after(waits, func() {
-			if !k.gone {
+		h.schedule(waitTime, func() {
+			if !hop.leftHost {
 				h.advance()
-				h.remove(k)
-				h.rate += 1 / reportOver.Seconds()
-				h.took += 0.1 * ((h.now-k.begun).Seconds()*1000 - h.took)
-				h.next()
-				h.tell(k, logic.HopCommitted)
+				h.remove(hop)
+				h.answersPerSecond += 1 / reportSmoothingTime.Seconds()
+				h.meanLatencyMs += 0.1 * ((h.now-hop.startedAt).Seconds()*1000 - h.meanLatencyMs)
+				h.scheduleNext()
+				h.sendOutcome(hop, logic.HopCommitted)
 			}
 		})
 	}
-	h.next()
+	h.scheduleNext()
 }
 
-func (h *playedHost) remove(k *playedHop) {
-	k.gone = true
-	for _, of := range []*[]*playedHop{&h.working, &h.idle, &h.queue} {
-		*of = slices.DeleteFunc(*of, func(x *playedHop) bool { return x == k })
+func (h *simHost) remove(hop *simHop) {
+	hop.leftHost = true
+	for _, hops := range []*[]*simHop{&h.working, &h.waiting, &h.queued} {
+		*hops = slices.DeleteFunc(*hops, func(other *simHop) bool { return other == hop })
 	}
 }
 
-func (h *playedHost) arrives(k *playedHop) {
-	if h.fails != nil {
-		if end, so := h.fails(k); so {
-			if k.gone = true; end != logic.HopTimedOut {
-				h.tell(k, end)
+func (h *simHost) hopArrived(hop *simHop) {
+	if h.failHop != nil {
+		if outcome, failed := h.failHop(hop); failed {
+			if hop.leftHost = true; outcome != logic.HopTimedOut {
+				h.sendOutcome(hop, outcome)
 			}
 			return
 		}
 	}
 	h.advance()
-	if len(h.queue) >= max(h.queueMost, h.slots) {
-		k.gone = true
-		h.tell(k, logic.HopHostFull)
+	if len(h.queued) >= max(h.queueLimit, h.slotsPerHost) {
+		hop.leftHost = true
+		h.sendOutcome(hop, logic.HopHostFull)
 		return
 	}
-	k.left = float64(k.work)
-	if k.key != 0 {
-		if at, known := h.met[k.key]; known && h.now-at < keyHeld {
-			k.left *= 1 - h.keySaves
+	hop.remainingWork = float64(hop.work)
+	if hop.affinityKey != 0 {
+		if at, seen := h.keyLastSeen[hop.affinityKey]; seen && h.now-at < cachedKeyTTL {
+			hop.remainingWork *= 1 - h.cachedKeySaving
 		}
-		h.met[k.key] = h.now
+		h.keyLastSeen[hop.affinityKey] = h.now
 	}
-	h.queue = append(h.queue, k)
-	h.next()
+	h.queued = append(h.queued, hop)
+	h.scheduleNext()
 }
 
-func (h *playedHost) held() int { return len(h.working) + len(h.idle) + len(h.queue) }
+func (h *simHost) inFlight() int { return len(h.working) + len(h.waiting) + len(h.queued) }
 
-// tell brings the end of a hop to its gateway.
-func (h *playedHost) tell(k *playedHop, end logic.HopOutcome) {
-	l := logic.NoLoadReport
-	if h.from.ResponsesReportLoad {
-		l = h.load()
+// sendOutcome brings the end of a hop to its gateway.
+func (h *simHost) sendOutcome(hop *simHop, outcome logic.HopOutcome) {
+	load := logic.NoLoadReport
+	if h.infoSources.ResponsesReportLoad {
+		load = h.loadReport()
 	}
-	h.after(k.gateway.way(h), func() { k.gateway.ended(k, end, l) })
+	h.schedule(hop.gateway.oneWayLatency(h), func() { hop.gateway.hopEnded(hop, outcome, load) })
 }
 
-func (h *playedHost) load() logic.LoadReport {
+func (h *simHost) loadReport() logic.LoadReport {
 	h.advance()
-	l := logic.LoadReport{InFlight: float64(h.held()), Queued: float64(len(h.queue)), Utilization: h.used, RequestsPerSecond: h.rate, LatencyMs: h.took}
-	if h.says != nil {
-		l = h.says(h, l)
-	}
-	for _, f := range []struct {
-		name string
-		of   *float64
-	}{{"held", &l.InFlight}, {"waiting", &l.Queued}, {"busy", &l.Utilization}, {"rate", &l.RequestsPerSecond}, {"rate", &l.LatencyMs}} {
-		if !strings.Contains(h.fields, f.name) {
-			*f.of = -1
+	load := logic.LoadReport{InFlight: float64(h.inFlight()), Queued: float64(len(h.queued)), Utilization: h.smoothedUtilization, RequestsPerSecond: h.answersPerSecond, LatencyMs: h.meanLatencyMs}
+	if h.overrideReport != nil {
+		load = h.overrideReport(h, load)
+	}
+	for _, field := range []struct {
+		name  string
+		value *float64
+	}{{"held", &load.InFlight}, {"waiting", &load.Queued}, {"busy", &load.Utilization}, {"rate", &load.RequestsPerSecond}, {"rate", &load.LatencyMs}} {
+		if !strings.Contains(h.reportedFields, field.name) {
+			*field.value = -1
 		}
 	}
-	return l
+	return load
 }
 
-// playedGateway does for a Balancer what it asks for.
-type playedGateway struct {
-	*day
+// simGateway does for a Balancer what it asks for.
+type simGateway struct {
+	*simulation
 	logic.Core
-	me       int
-	zone     string
-	watching bool
+	index         int
+	zone          string
+	listRequested bool
 }
 
-func (g *playedGateway) way(h *playedHost) time.Duration {
-	way := nearby
+func (g *simGateway) oneWayLatency(h *simHost) time.Duration {
+	latency := sameZoneLatency
 	if h.Zone != g.zone {
-		way = across
+		latency = crossZoneLatency
 	}
-	if g.away != nil {
-		way += g.away(g, h)
+	if g.extraLatency != nil {
+		latency += g.extraLatency(g, h)
 	}
-	return way
+	return latency
 }
 
-func (g *playedGateway) ended(k *playedHop, end logic.HopOutcome, l logic.LoadReport) {
-	if k.ended {
+func (g *simGateway) hopEnded(hop *simHop, outcome logic.HopOutcome, load logic.LoadReport) {
+	if hop.endedAtGateway {
 		return
 	}
-	k.ended = true
-	if end == logic.HopCommitted {
-		k.answer(g.now, "committed")
+	hop.endedAtGateway = true
+	if outcome == logic.HopCommitted {
+		hop.recordAnswer(g.now, "committed")
 	}
-	g.HopEnded(g.now, k.id, k.number, logic.HopResult{Outcome: end, Latency: g.now - k.sent, Load: l}, k.answered)
+	g.HopEnded(g.now, hop.id, hop.hopIndex, logic.HopResult{Outcome: outcome, Latency: g.now - hop.sentAt, Load: load}, hop.answered)
 }
 
-// stops has a host stop work on a hop.
-func (g *playedGateway) stops(k *playedHop) {
-	g.after(g.way(k.host), func() {
-		if !k.gone && !g.goesOn {
-			k.host.advance()
-			k.host.remove(k)
-			k.host.next()
+// stopAtHost has a host stop work on a hop.
+func (g *simGateway) stopAtHost(hop *simHop) {
+	g.schedule(g.oneWayLatency(hop.host), func() {
+		if !hop.leftHost && !g.hostsIgnoreCancellation {
+			hop.host.advance()
+			hop.host.remove(hop)
+			hop.host.scheduleNext()
 		}
 	})
 }
 
-func (g *playedGateway) SendHop(id logic.TxID, to logic.HostID, wait time.Duration) {
-	t := g.txs[id]
-	k := &playedHop{playedTx: t, number: len(t.hops), host: g.hosted[to-1], sent: g.now}
-	t.hops = append(t.hops, k)
-	g.after(g.way(k.host), func() {
-		if !k.gone {
-			k.host.arrives(k)
+func (g *simGateway) SendHop(id logic.TxID, host logic.HostID, timeout time.Duration) {
+	tx := g.transactions[id]
+	hop := &simHop{simTx: tx, hopIndex: len(tx.hops), host: g.hosts[host-1], sentAt: g.now}
+	tx.hops = append(tx.hops, hop)
+	g.schedule(g.oneWayLatency(hop.host), func() {
+		if !hop.leftHost {
+			hop.host.hopArrived(hop)
 		}
 	})
-	g.after(wait, func() {
-		if !k.ended {
-			g.stops(k)
-			g.ended(k, logic.HopTimedOut, logic.NoLoadReport)
+	g.schedule(timeout, func() {
+		if !hop.endedAtGateway {
+			g.stopAtHost(hop)
+			g.hopEnded(hop, logic.HopTimedOut, logic.NoLoadReport)
 		}
 	})
 }
 
-func (g *playedGateway) CallOff(id logic.TxID, hop int) {
-	if k := g.txs[id].hops[hop]; !k.ended {
-		g.stops(k)
-		g.after(0, func() { g.ended(k, logic.HopCalledOff, logic.NoLoadReport) })
+func (g *simGateway) CallOff(id logic.TxID, hopIndex int) {
+	if hop := g.transactions[id].hops[hopIndex]; !hop.endedAtGateway {
+		g.stopAtHost(hop)
+		g.schedule(0, func() { g.hopEnded(hop, logic.HopCalledOff, logic.NoLoadReport) })
 	}
 }
-func (g *playedGateway) RollBack(id logic.TxID, _ time.Duration) {
-	g.txs[id].answer(g.now, "rolled back")
+func (g *simGateway) RollBack(id logic.TxID, _ time.Duration) {
+	g.transactions[id].recordAnswer(g.now, "rolled back")
 }
-func (g *playedGateway) Abandon(id logic.TxID)             { g.txs[id].answer(g.now, "abandoned") }
-func (g *playedGateway) CloseIdleConnections(logic.HostID) {}
-func (g *playedGateway) Log(line string) {
-	g.logged = append(g.logged, fmt.Sprintf("%.1f gateway %d: %s", g.now.Seconds(), g.me, line))
+func (g *simGateway) Abandon(id logic.TxID)             { g.transactions[id].recordAnswer(g.now, "abandoned") }
+func (g *simGateway) CloseIdleConnections(logic.HostID) {}
+func (g *simGateway) Log(line string) {
+	g.logLines = append(g.logLines, fmt.Sprintf("%.1f gateway %d: %s", g.now.Seconds(), g.index, line))
 }
-func (g *playedGateway) SetTimer(in time.Duration) { g.after(in, func() { g.TimerFired(g.now) }) }
-func (g *playedGateway) Probe(id logic.HostID) {
-	h := g.hosted[id-1]
-	g.after(g.way(h), func() {
-		l := h.load()
-		g.after(g.way(h), func() { g.ProbeEnded(g.now, id, l) })
+func (g *simGateway) SetTimer(delay time.Duration) { g.schedule(delay, func() { g.TimerFired(g.now) }) }
+func (g *simGateway) Probe(id logic.HostID) {
+	h := g.hosts[id-1]
+	g.schedule(g.oneWayLatency(h), func() {
+		load := h.loadReport()
+		g.schedule(g.oneWayLatency(h), func() { g.ProbeEnded(g.now, id, load) })
 	})
 }
-func (g *playedGateway) SendPeerMessage(to int, held []logic.PeerEntry) {
-	for _, other := range g.balanced {
-		if other != g && (to == other.me || to < 0) {
-			g.after(across, func() { other.PeerMessageReceived(g.now, g.me, held) })
+func (g *simGateway) SendPeerMessage(to int, entries []logic.PeerEntry) {
+	for _, other := range g.gateways {
+		if other != g && (to == other.index || to < 0) {
+			g.schedule(crossZoneLatency, func() { other.PeerMessageReceived(g.now, g.index, entries) })
 		}
 	}
 }
-func (g *playedGateway) RequestHostList() {
-	g.watching = true
-	g.after(listEach, func() { g.HostListReceived(g.now, logic.ListComplete, g.sizes[0]) })
+func (g *simGateway) RequestHostList() {
+	g.listRequested = true
+	g.schedule(listInterval, func() { g.HostListReceived(g.now, logic.ListComplete, g.recentLists[0]) })
 }
 
-// list is what the list says of now.
-func (d *day) list() (all []logic.Host) {
-	for _, h := range d.hosted {
+// currentList is what the list says of now.
+func (sim *simulation) currentList() (hosts []logic.Host) {
+	for _, h := range sim.hosts {
 		entry := h.Host
-		if entry.CapacityHint = h.speed * float64(d.cores); d.from.CapacityHints == logic.LiveCapacity {
-			l := logic.LoadReport{InFlight: float64(h.held())}
-			if d.says != nil {
-				l = d.says(h, l)
+		if entry.CapacityHint = h.speed * float64(sim.coresPerHost); sim.infoSources.CapacityHints == logic.LiveCapacity {
+			load := logic.LoadReport{InFlight: float64(h.inFlight())}
+			if sim.overrideReport != nil {
+				load = sim.overrideReport(h, load)
 			}
-			entry.CapacityHint /= 1 + l.InFlight/float64(d.cores)
+			entry.CapacityHint /= 1 + load.InFlight/float64(sim.coresPerHost)
 		}
-		all = append(all, entry)
+		hosts = append(hosts, entry)
 	}
-	return all
+	return hosts
 }
 
-func (d *day) lists() {
-	if d.sizes = append(d.sizes, d.list()); len(d.sizes) > listLate {
-		d.sizes = d.sizes[1:]
+func (sim *simulation) publishLists() {
+	if sim.recentLists = append(sim.recentLists, sim.currentList()); len(sim.recentLists) > listDelayIntervals {
+		sim.recentLists = sim.recentLists[1:]
 	}
-	if d.from.CapacityHints == logic.LiveCapacity {
-		for _, g := range d.balanced {
-			if g.watching {
-				g.HostListReceived(d.now, logic.ListChanges, d.sizes[0])
+	if sim.infoSources.CapacityHints == logic.LiveCapacity {
+		for _, g := range sim.gateways {
+			if g.listRequested {
+				g.HostListReceived(sim.now, logic.ListChanges, sim.recentLists[0])
 			}
 		}
 	}
-	d.after(listEach, d.lists)
+	sim.schedule(listInterval, sim.publishLists)
 }
 
 func zoneName(i int) string { return string('a' + rune(i)) }
 
-// newDay makes the day, with plain gateways or with the module.
-func newDay(p deployment, plain bool) *day {
-	d := &day{deployment: p, now: time.Second, clients: rand.New(rand.NewPCG(p.seed, 1)), luck: rand.New(rand.NewPCG(p.seed, 2))}
+// newSimulation makes the day, with plain gateways or with the module.
+func newSimulation(d deployment, randomPicks bool) *simulation {
+	sim := &simulation{deployment: d, now: time.Second, clientRandom: rand.New(rand.NewPCG(d.seed, 1)), otherRandom: rand.New(rand.NewPCG(d.seed, 2))}
 	var zones []string
-	for i := range p.zones {
+	for i := range d.zoneCount {
 		zones = append(zones, zoneName(i))
 	}
-	for i := range p.hosts {
-		h := &playedHost{day: d, speed: 1, met: map[uint32]time.Duration{}, since: d.now,
-			Host: logic.Host{ID: logic.HostID(i + 1), Zone: zones[i%p.zones], Kind: "box", Cell: i % 4, State: logic.HostReady}}
-		if p.slowest < 1 && i/p.zones%2 == 1 {
-			h.Kind, h.speed = "old box", p.slowest
+	for i := range d.hostCount {
+		h := &simHost{simulation: sim, speed: 1, keyLastSeen: map[uint32]time.Duration{}, advancedAt: sim.now,
+			Host: logic.Host{ID: logic.HostID(i + 1), Zone: zones[i%d.zoneCount], Kind: "box", Cell: i % 4, State: logic.HostReady}}
+		if d.slowKindSpeed < 1 && i/d.zoneCount%2 == 1 {
+			h.Kind, h.speed = "old box", d.slowKindSpeed
 		}
-		d.hosted = append(d.hosted, h)
+		sim.hosts = append(sim.hosts, h)
 	}
 	var profiles []logic.Profile
-	for _, k := range p.profiles {
-		profiles = append(profiles, k.Profile)
+	for _, profile := range d.profiles {
+		profiles = append(profiles, profile.Profile)
 	}
 	var tenants []logic.Tenant
-	for i := range p.tenants {
-		tenants = append(tenants, logic.Tenant{Name: zoneName(i), QuotaPerSecond: 2 * p.perSecond / float64(p.tenants)})
-	}
-	d.lists()
-	for i := range p.gateways {
-		g := &playedGateway{day: d, me: i, zone: zones[i%p.zones]}
-		if d.balanced = append(d.balanced, g); plain {
-			g.Core = &plainGateway{playedGateway: g}
+	for i := range d.tenantCount {
+		tenants = append(tenants, logic.Tenant{Name: zoneName(i), QuotaPerSecond: 2 * d.txPerSecond / float64(d.tenantCount)})
+	}
+	sim.publishLists()
+	for i := range d.gatewayCount {
+		g := &simGateway{simulation: sim, index: i, zone: zones[i%d.zoneCount]}
+		if sim.gateways = append(sim.gateways, g); randomPicks {
+			g.Core = &randomGateway{simGateway: g}
 			continue
 		}
-		g.Core = logic.New(g, d.now, p.seed<<16+uint64(i), logic.Topology{GatewayCount: p.gateways, GatewayIndex: i, Zone: g.zone, Zones: zones}, profiles,
-			tenants, logic.ColdHostRule{InitialCapacityFraction: 0.2, WarmUpDuration: 10 * time.Second, OverloadMultiple: 3, OverloadDuration: time.Second}, logic.DrainRule{}, p.hops, p.from, p.price)
-		g.HostListReceived(d.now, logic.ListCached, d.sizes[0])
+		g.Core = logic.New(g, sim.now, d.seed<<16+uint64(i), logic.Topology{GatewayCount: d.gatewayCount, GatewayIndex: i, Zone: g.zone, Zones: zones}, profiles,
+			tenants, logic.ColdHostRule{InitialCapacityFraction: 0.2, WarmUpDuration: 10 * time.Second, OverloadMultiple: 3, OverloadDuration: time.Second}, logic.DrainRule{}, d.hopRule, d.infoSources, d.costModel)
+		g.HostListReceived(sim.now, logic.ListCached, sim.recentLists[0])
 	}
-	d.arrive()
-	return d
+	sim.scheduleArrival()
+	return sim
 }
 
-// plainGateway takes a host of its zone by chance and never decides anything: a harmless day is measured by it.
-type plainGateway struct {
+// randomGateway takes a host of its zone by chance and never decides anything: a harmless day is measured by it.
+type randomGateway struct {
 	logic.Core
-	*playedGateway
+	*simGateway
 }
 
-func (g *plainGateway) TransactionReceived(_ time.Duration, id logic.TxID, a logic.Arrival) {
-	each := g.hosts / g.zones
-	at := (g.me%g.zones + g.zones*g.luck.IntN(each))
-	g.SendHop(id, logic.HostID(at+1), a.Budget)
+func (g *randomGateway) TransactionReceived(_ time.Duration, id logic.TxID, arrival logic.Arrival) {
+	hostsPerZone := g.hostCount / g.zoneCount
+	hostIndex := (g.index%g.zoneCount + g.zoneCount*g.otherRandom.IntN(hostsPerZone))
+	g.SendHop(id, logic.HostID(hostIndex+1), arrival.Budget)
 }
-func (g *plainGateway) HopEnded(time.Duration, logic.TxID, int, logic.HopResult, bool) {}
-func (g *plainGateway) ClientLeft(time.Duration, logic.TxID)                           {}
-func (g *plainGateway) HostListReceived(time.Duration, logic.ListKind, []logic.Host)   {}
+func (g *randomGateway) HopEnded(time.Duration, logic.TxID, int, logic.HopResult, bool) {}
+func (g *randomGateway) ClientLeft(time.Duration, logic.TxID)                           {}
+func (g *randomGateway) HostListReceived(time.Duration, logic.ListKind, []logic.Host)   {}
 
-// spreadOut is one by the deployment's spread of work, 1 in the mean.
-func (d *day) spreadOut() float64 {
-	normal, exponential := d.clients.NormFloat64(), d.clients.ExpFloat64() // always as many draws
-	switch d.work {
+// workFactor is one by the deployment's spread of work, 1 in the mean.
+func (sim *simulation) workFactor() float64 {
+	normal, exponential := sim.clientRandom.NormFloat64(), sim.clientRandom.ExpFloat64() // always as many draws
+	switch sim.workDistribution {
 	case "exponential":
 		return exponential
 	case "lognormal":
-		return math.Exp(d.spread*normal - d.spread*d.spread/2)
+		return math.Exp(sim.lognormalSigma*normal - sim.lognormalSigma*sim.lognormalSigma/2)
 	}
 	return 1
 }
 
-func (d *day) arrive() {
-	d.after(time.Duration(d.clients.ExpFloat64()/d.perSecond*float64(time.Second)), func() {
-		if d.now-time.Second < d.length {
-			d.take()
-			d.arrive()
+func (sim *simulation) scheduleArrival() {
+	sim.schedule(time.Duration(sim.clientRandom.ExpFloat64()/sim.txPerSecond*float64(time.Second)), func() {
+		if sim.now-time.Second < sim.arrivalDuration {
+			sim.receiveTransaction()
+			sim.scheduleArrival()
 		}
 	})
 }
 
-func (d *day) take() {
-	zone, of, part := d.clients.IntN(d.zones), d.clients.Float64(), d.clients.Float64()
-	t := &playedTx{id: logic.TxID(len(d.txs)), at: d.now, tenant: -1}
-	mine := (d.gateways - zone + d.zones - 1) / d.zones
-	t.gateway = d.balanced[zone+d.zones*int(of*float64(mine))]
-	for t.profile = 0; t.profile < len(d.profiles)-1 && part >= d.profiles[t.profile].share; t.profile++ {
-		part -= d.profiles[t.profile].share
-	}
-	p := &d.profiles[t.profile]
-	t.work = time.Duration(d.spreadOut() * float64(p.work))
-	t.waits = time.Duration(d.spreadOut() * d.waits * float64(p.work))
-	if key := d.clients.Float64(); d.keys > 0 { // the more popular the lower, the first some 20 times the last
-		t.key = 1 + uint32(20*(math.Pow(float64(d.keys)/20+1, key)-1))
-	}
-	if tenant := d.clients.IntN(max(1, d.tenants)); d.tenants > 0 {
-		t.tenant = tenant
-	}
-	d.txs = append(d.txs, t)
-	budget := 3 * p.ServiceGoal
-	t.gateway.TransactionReceived(d.now, t.id, logic.Arrival{ProfileIndex: t.profile, TenantIndex: t.tenant, Budget: budget, AffinityKey: t.key})
-	d.after(budget, func() {
-		if !t.answered {
-			t.answer(d.now, "left")
-			t.gateway.ClientLeft(d.now, t.id)
+func (sim *simulation) receiveTransaction() {
+	zone, gatewayChoice, profileChoice := sim.clientRandom.IntN(sim.zoneCount), sim.clientRandom.Float64(), sim.clientRandom.Float64()
+	tx := &simTx{id: logic.TxID(len(sim.transactions)), arrivedAt: sim.now, tenantIndex: -1}
+	gatewaysInZone := (sim.gatewayCount - zone + sim.zoneCount - 1) / sim.zoneCount
+	tx.gateway = sim.gateways[zone+sim.zoneCount*int(gatewayChoice*float64(gatewaysInZone))]
+	for tx.profileIndex = 0; tx.profileIndex < len(sim.profiles)-1 && profileChoice >= sim.profiles[tx.profileIndex].trafficFraction; tx.profileIndex++ {
+		profileChoice -= sim.profiles[tx.profileIndex].trafficFraction
+	}
+	profile := &sim.profiles[tx.profileIndex]
+	tx.work = time.Duration(sim.workFactor() * float64(profile.meanWork))
+	tx.waitTime = time.Duration(sim.workFactor() * sim.waitToWorkRatio * float64(profile.meanWork))
+	if keyChoice := sim.clientRandom.Float64(); sim.keyCount > 0 { // the more popular the lower, the first some 20 times the last
+		tx.affinityKey = 1 + uint32(20*(math.Pow(float64(sim.keyCount)/20+1, keyChoice)-1))
+	}
+	if tenantIndex := sim.clientRandom.IntN(max(1, sim.tenantCount)); sim.tenantCount > 0 {
+		tx.tenantIndex = tenantIndex
+	}
+	sim.transactions = append(sim.transactions, tx)
+	budget := 3 * profile.ServiceGoal
+	tx.gateway.TransactionReceived(sim.now, tx.id, logic.Arrival{ProfileIndex: tx.profileIndex, TenantIndex: tx.tenantIndex, Budget: budget, AffinityKey: tx.affinityKey})
+	sim.schedule(budget, func() {
+		if !tx.answered {
+			tx.recordAnswer(sim.now, "left")
+			tx.gateway.ClientLeft(sim.now, tx.id)
 		}
 	})
 }
 
-// play goes on until then, since the day's start.
-func (d *day) play(until time.Duration) *day {
-	for len(d.events) > 0 && d.events[0].at <= time.Second+until {
-		e := heap.Pop(&d.events).(dayEvent)
-		d.now = e.at
-		e.do()
+// runUntil goes on until then, since the day's start.
+func (sim *simulation) runUntil(elapsed time.Duration) *simulation {
+	for len(sim.events) > 0 && sim.events[0].at <= time.Second+elapsed {
+		e := heap.Pop(&sim.events).(simEvent)
+		sim.now = e.at
+		e.action()
 	}
-	return d
+	return sim
 }
 
-// tally counts what became of the transactions that some condition picks, of those that came between two times since the start.
-type tally struct {
-	taken, committed, inGoal, back, abandoned, further int
-	early                                              int // rolled back or abandoned before the service goal
+// txCounts counts what became of the transactions that some condition picks, of those that came between two times since the start.
+type txCounts struct {
+	received, committed, inGoal, rolledBack, abandoned, furtherHops int
+	failedBeforeGoal                                                int // rolled back or abandoned before the service goal
 }
 
-func (d *day) tally(from, to time.Duration, of func(*playedTx) bool) (n tally) {
-	for _, t := range d.txs {
-		if at := t.at - time.Second; at < from || at >= to || of != nil && !of(t) {
+func (sim *simulation) countTransactions(from, to time.Duration, filter func(*simTx) bool) (counts txCounts) {
+	for _, tx := range sim.transactions {
+		if arrivedAt := tx.arrivedAt - time.Second; arrivedAt < from || arrivedAt >= to || filter != nil && !filter(tx) {
 			continue
 		}
-		n.taken++
-		n.further += max(0, len(t.hops)-1)
-		switch t.how {
+		counts.received++
+		counts.furtherHops += max(0, len(tx.hops)-1)
+		switch tx.outcome {
 		case "committed":
-			if n.committed++; t.took <= d.profiles[t.profile].ServiceGoal {
-				n.inGoal++
+			if counts.committed++; tx.latency <= sim.profiles[tx.profileIndex].ServiceGoal {
+				counts.inGoal++
 			}
 		case "rolled back":
-			n.back++
+			counts.rolledBack++
 		case "abandoned", "left":
-			n.abandoned++
+			counts.abandoned++
 		}
-		if t.answered && t.how != "committed" && t.took < d.profiles[t.profile].ServiceGoal-10*ms {
-			n.early++
+		if tx.answered && tx.outcome != "committed" && tx.latency < sim.profiles[tx.profileIndex].ServiceGoal-10*ms {
+			counts.failedBeforeGoal++
 		}
 	}
-	return n
+	return counts
 }
 
-func (n tally) of(part int) float64 { return float64(part) / float64(max(1, n.taken)) }
+func (n txCounts) fraction(count int) float64 { return float64(count) / float64(max(1, n.received)) }
 
-// breakers are the lines on breakers that opened.
-func (d *day) breakers() (lines []string) {
-	for _, l := range d.logged {
+// breakerOpenings are the lines on breakers that opened.
+func (sim *simulation) breakerOpenings() (lines []string) {
+	for _, l := range sim.logLines {
 		if strings.HasSuffix(l, "breaker open true") {
 			lines = append(lines, l)
 		}
--- a/logic/symptoms_test.go
+++ b/logic/symptoms_test.go
@@ -13,18 +13,18 @@
 // looks alike and calls for something else. What must hold is said against the same day without trouble, of what comes once the gateways
 // have had a third of the trouble's time to see it.
 const (
-	troubleFrom = 6 * time.Second
-	troubleEnds = 2 * time.Second // before the end of the day
-	someTx      = 0.05            // of what is committed within the goal on the day without trouble: may be lost
-	halfEven    = 0.5             // of the even share: what goes at the most to hosts that are to be left
+	faultStart            = 6 * time.Second
+	faultFreeTail         = 2 * time.Second // before the end of the day
+	maxInGoalLoss         = 0.05            // of what is committed within the goal on the day without trouble: may be lost
+	maxAvoidedShareOfEven = 0.5             // of the even share: what goes at the most to hosts that are to be left
 )
 
-// seenBy are gateways that learn of hosts in ways that have little in common, few and many.
-var seenBy = []struct {
-	name     string
-	from     logic.InformationSources
-	fields   string
-	gateways int
+// faultSourceCases are gateways that learn of hosts in ways that have little in common, few and many.
+var faultSourceCases = []struct {
+	name           string
+	sources        logic.InformationSources
+	reportedFields string
+	gatewayCount   int
 }{
 	{"few, probed", logic.InformationSources{ProbesReportLoad: true}, "held waiting", 4},
 	{"few, told, probed", logic.InformationSources{PeersShareInFlight: true, ProbesReportLoad: true}, "held waiting", 4},
@@ -35,176 +35,184 @@
 }
 
 const (
-	reads = iota
-	orders
+	readProfileIndex = iota
+	orderProfileIndex
 )
 
-// ended names the ends that tests cause.
-var ended = [...]string{logic.HopError: "error", logic.HopTimedOut: "silence", logic.HopNoConnection: "refused", logic.HopConnectionBroken: "reset"}
-
-// seenDay is the deployment without trouble.
-func seenDay(i int) deployment {
-	by := seenBy[i]
-	p := deployment{sources: by.name, from: by.from, fields: by.fields, gateways: by.gateways, zones: 2, hosts: 8, cores: 2, slots: 20, shares: true,
-		slowest: 1, work: "exponential", waits: 0.5, seed: uint64(i), length: 20 * time.Second, perSecond: 80,
-		price: logic.CostModel{CrossZoneHop: 0.02}, hops: logic.HopRule{MaxHops: 3, CallOff: true, MaxRetryAfter: time.Second},
-		profiles: []profileMix{
-			{Profile: logic.Profile{Name: "read", Effect: logic.Idempotent, ServiceGoal: 600 * ms, Revenue: 1, LateRevenueFraction: 0.3}, share: 0.7, work: 50 * ms},
-			{Profile: logic.Profile{Name: "order", Effect: logic.NonIdempotent, ServiceGoal: 1200 * ms, Revenue: 3, LateRevenueFraction: 0.3}, share: 0.3,
-				work: 100 * ms}}}
-	p.from.MaxListPollInterval = 10 * time.Second
-	return p
+// outcomeNames names the ends that tests cause.
+var outcomeNames = [...]string{logic.HopError: "error", logic.HopTimedOut: "silence", logic.HopNoConnection: "refused", logic.HopConnectionBroken: "reset"}
+
+// faultDeployment is the deployment without trouble.
+func faultDeployment(i int) deployment {
+	sourceCase := faultSourceCases[i]
+	d := deployment{sourcesName: sourceCase.name, infoSources: sourceCase.sources, reportedFields: sourceCase.reportedFields, gatewayCount: sourceCase.gatewayCount, zoneCount: 2, hostCount: 8, coresPerHost: 2, slotsPerHost: 20, sharesCores: true,
+		slowKindSpeed: 1, workDistribution: "exponential", waitToWorkRatio: 0.5, seed: uint64(i), arrivalDuration: 20 * time.Second, txPerSecond: 80,
+		costModel: logic.CostModel{CrossZoneHop: 0.02}, hopRule: logic.HopRule{MaxHops: 3, CallOff: true, MaxRetryAfter: time.Second},
+		profiles: []simProfile{
+			{Profile: logic.Profile{Name: "read", Effect: logic.Idempotent, ServiceGoal: 600 * ms, Revenue: 1, LateRevenueFraction: 0.3}, trafficFraction: 0.7, meanWork: 50 * ms},
+			{Profile: logic.Profile{Name: "order", Effect: logic.NonIdempotent, ServiceGoal: 1200 * ms, Revenue: 3, LateRevenueFraction: 0.3}, trafficFraction: 0.3,
+				meanWork: 100 * ms}}}
+	d.infoSources.MaxListPollInterval = 10 * time.Second
+	return d
 }
 
-// calmDays are those without trouble and changes, each played once.
-var calmDays = func() (days []func() *day) {
-	for i := range seenBy {
-		days = append(days, sync.OnceValue(func() *day { return newDay(seenDay(i), false).playOut() }))
+// faultFreeRuns are those without trouble and changes, each played once.
+var faultFreeRuns = func() (days []func() *simulation) {
+	for i := range faultSourceCases {
+		days = append(days, sync.OnceValue(func() *simulation { return newSimulation(faultDeployment(i), false).runToEnd() }))
 	}
 	return days
 }()
 
-func (d *day) playOut() *day { return d.play(d.length + 3*time.Second) }
+func (sim *simulation) runToEnd() *simulation {
+	return sim.runUntil(sim.arrivalDuration + 3*time.Second)
+}
 
-// inEach plays a day for each way to learn of hosts, without the trouble and with it; change makes both another deployment.
-func inEach(t *testing.T, only func(logic.InformationSources) bool, change func(*deployment), trouble func(*day), holds func(t *testing.T, calm, d *day)) {
-	for i, by := range seenBy {
-		if only != nil && !only(by.from) {
+// runFaultTest plays a day for each way to learn of hosts, without the trouble and with it; change makes both another deployment.
+func runFaultTest(t *testing.T, applies func(logic.InformationSources) bool, change func(*deployment), injectFault func(*simulation), check func(t *testing.T, faultFree, sim *simulation)) {
+	for i, sourceCase := range faultSourceCases {
+		if applies != nil && !applies(sourceCase.sources) {
 			continue
 		}
-		t.Run(by.name, func(t *testing.T) {
+		t.Run(sourceCase.name, func(t *testing.T) {
 			t.Parallel()
-			p, without := seenDay(i), calmDays[i]
+			d, runFaultFree := faultDeployment(i), faultFreeRuns[i]
 			if change != nil {
-				change(&p)
-				without = newDay(p, false).playOut
+				change(&d)
+				runFaultFree = newSimulation(d, false).runToEnd
 			}
-			d, calm := newDay(p, false), without()
-			trouble(d)
-			d.playOut()
-			n, c := d.settled(nil), calm.settled(nil)
-			t.Logf("in goal %.3f, calm %.3f; given up early %.3f; %d hops further; %d breakers opened, calm %d", n.of(n.inGoal), c.of(c.inGoal),
-				n.of(n.early), n.further, len(d.breakers()), len(calm.breakers()))
-			holds(t, calm, d)
+			sim, faultFree := newSimulation(d, false), runFaultFree()
+			injectFault(sim)
+			sim.runToEnd()
+			counts, faultFreeCounts := sim.countAfterDetection(nil), faultFree.countAfterDetection(nil)
+			t.Logf("in goal %.3f, calm %.3f; given up early %.3f; %d hops further; %d breakers opened, calm %d", counts.fraction(counts.inGoal), faultFreeCounts.fraction(faultFreeCounts.inGoal),
+				counts.fraction(counts.failedBeforeGoal), counts.furtherHops, len(sim.breakerOpenings()), len(faultFree.breakerOpenings()))
+			check(t, faultFree, sim)
 		})
 	}
 }
 
-// troubleTo is when the trouble ends, seen when the gateways have had time to see it.
-func (d *day) troubleTo() time.Duration { return d.length - troubleEnds }
-func (d *day) seen() time.Duration      { return troubleFrom + (d.troubleTo()-troubleFrom)/3 }
+// faultEnd is when the trouble ends, seen when the gateways have had time to see it.
+func (sim *simulation) faultEnd() time.Duration { return sim.arrivalDuration - faultFreeTail }
+func (sim *simulation) detectionDeadline() time.Duration {
+	return faultStart + (sim.faultEnd()-faultStart)/3
+}
 
-// settled counts what came while the trouble was there and had been seen.
-func (d *day) settled(of func(*playedTx) bool) tally { return d.tally(d.seen(), d.troubleTo(), of) }
+// countAfterDetection counts what came while the trouble was there and had been seen.
+func (sim *simulation) countAfterDetection(filter func(*simTx) bool) txCounts {
+	return sim.countTransactions(sim.detectionDeadline(), sim.faultEnd(), filter)
+}
 
-func (d *day) troubled() bool {
-	at := d.now - time.Second
-	return at >= troubleFrom && at < d.troubleTo()
+func (sim *simulation) faultActive() bool {
+	at := sim.now - time.Second
+	return at >= faultStart && at < sim.faultEnd()
 }
 
-// at has something done so long after the start.
-func (d *day) at(when time.Duration, do func()) { d.after(time.Second+when-d.now, do) }
+// scheduleAt has something done so long after the start.
+func (sim *simulation) scheduleAt(elapsed time.Duration, action func()) {
+	sim.schedule(time.Second+elapsed-sim.now, action)
+}
 
-// hopShare is the part of the hops that went to some hosts, of those sent in that time that a condition picks.
-func (d *day) hopShare(to []logic.HostID, of func(*playedHop) bool) float64 {
-	all, there := 0, 0
-	for _, t := range d.txs {
-		for _, k := range t.hops {
-			if at := k.sent - time.Second; at < d.seen() || at >= d.troubleTo() || of != nil && !of(k) {
+// hopFraction is the part of the hops that went to some hosts, of those sent in that time that a condition picks.
+func (sim *simulation) hopFraction(hosts []logic.HostID, filter func(*simHop) bool) float64 {
+	all, toHosts := 0, 0
+	for _, tx := range sim.transactions {
+		for _, hop := range tx.hops {
+			if at := hop.sentAt - time.Second; at < sim.detectionDeadline() || at >= sim.faultEnd() || filter != nil && !filter(hop) {
 				continue
 			}
-			if all++; slices.Contains(to, k.host.ID) {
-				there++
+			if all++; slices.Contains(hosts, hop.host.ID) {
+				toHosts++
 			}
 		}
 	}
-	return float64(there) / float64(max(1, all))
+	return float64(toHosts) / float64(max(1, all))
 }
 
-func atLeast(t *testing.T, what string, got, least float64) {
+func checkAtLeast(t *testing.T, what string, got, min float64) {
 	t.Helper()
-	if got < least {
-		t.Errorf("%s: %.3f, must be at least %.3f", what, got, least)
+	if got < min {
+		t.Errorf("%s: %.3f, must be at least %.3f", what, got, min)
 	}
 }
 
-func atMost(t *testing.T, what string, got, most float64) {
+func checkAtMost(t *testing.T, what string, got, max float64) {
 	t.Helper()
-	if got > most {
-		t.Errorf("%s: %.3f, must be at most %.3f", what, got, most)
+	if got > max {
+		t.Errorf("%s: %.3f, must be at most %.3f", what, got, max)
 	}
 }
 
-// left asks that hosts get less than half of an even share of the hops that a condition picks.
-func left(t *testing.T, what string, d *day, hosts []logic.HostID, of func(*playedHop) bool) {
+// checkAvoided asks that hosts get less than half of an even share of the hops that a condition picks.
+func checkAvoided(t *testing.T, what string, sim *simulation, hosts []logic.HostID, filter func(*simHop) bool) {
 	t.Helper()
-	atMost(t, "hops to "+what, d.hopShare(hosts, of), halfEven*float64(len(hosts))/float64(d.hosts))
+	checkAtMost(t, "hops to "+what, sim.hopFraction(hosts, filter), maxAvoidedShareOfEven*float64(len(hosts))/float64(sim.hostCount))
 }
 
-// served asks that what a condition picks is committed within its goal as on the calm day, but for a small part.
-func served(t *testing.T, what string, calm, d *day, of func(*playedTx) bool, lost float64) {
+// checkServed asks that what a condition picks is committed within its goal as on the calm day, but for a small part.
+func checkServed(t *testing.T, what string, faultFree, sim *simulation, filter func(*simTx) bool, maxLoss float64) {
 	t.Helper()
-	c, n := calm.settled(of), d.settled(of)
-	atLeast(t, what+", in goal", n.of(n.inGoal), c.of(c.inGoal)-lost)
+	faultFreeCounts, counts := faultFree.countAfterDetection(filter), sim.countAfterDetection(filter)
+	checkAtLeast(t, what+", in goal", counts.fraction(counts.inGoal), faultFreeCounts.fraction(faultFreeCounts.inGoal)-maxLoss)
 }
 
-func ofProfile(profile int) func(*playedTx) bool {
-	return func(t *playedTx) bool { return t.profile == profile }
+func hasProfile(profile int) func(*simTx) bool {
+	return func(tx *simTx) bool { return tx.profileIndex == profile }
 }
 
 // some are a quarter of the hosts, one in each zone; half are two in each.
 var (
-	some = []logic.HostID{1, 2}
-	half = []logic.HostID{1, 2, 3, 4}
+	quarterOfHosts = []logic.HostID{1, 2}
+	halfOfHosts    = []logic.HostID{1, 2, 3, 4}
 )
 
-// slowed makes hosts slower by that factor while the trouble is there.
-func (d *day) slowed(ids []logic.HostID, by float64) {
-	to := func(speed float64) func() {
+// slowDown makes hosts slower by that factor while the trouble is there.
+func (sim *simulation) slowDown(ids []logic.HostID, factor float64) {
+	setSpeed := func(speed float64) func() {
 		return func() {
 			for _, id := range ids {
-				h := d.hosted[id-1]
+				h := sim.hosts[id-1]
 				h.advance()
 				h.speed = speed
-				h.next()
+				h.scheduleNext()
 			}
 		}
 	}
-	d.at(troubleFrom, to(1/by))
-	d.at(d.troubleTo(), to(1))
+	sim.scheduleAt(faultStart, setSpeed(1/factor))
+	sim.scheduleAt(sim.faultEnd(), setSpeed(1))
 }
 
-func reporting(from logic.InformationSources) bool {
-	return from.ProbesReportLoad || from.ResponsesReportLoad || from.CapacityHints == logic.LiveCapacity
+func reportsLoad(sources logic.InformationSources) bool {
+	return sources.ProbesReportLoad || sources.ResponsesReportLoad || sources.CapacityHints == logic.LiveCapacity
 }
 
 // Reports that show too little, what was at the start, or nothing, while their hosts are twice as slow, must not draw the traffic there: a
 // host that answers late is loaded, whatever it says. Guards against reports trusted over answers.
-func TestReportsTooLow(t *testing.T) {
-	for _, report := range []struct {
-		name string
-		says func(logic.LoadReport) logic.LoadReport
+func TestUnderreportedLoad(t *testing.T) {
+	for _, falseReport := range []struct {
+		name    string
+		falsify func(logic.LoadReport) logic.LoadReport
 	}{
-		{"low", func(l logic.LoadReport) logic.LoadReport {
-			return logic.LoadReport{InFlight: 0.1 * l.InFlight, Queued: 0.1 * l.Queued, Utilization: 0.1 * l.Utilization, RequestsPerSecond: l.RequestsPerSecond, LatencyMs: 0.1 * l.LatencyMs}
+		{"low", func(load logic.LoadReport) logic.LoadReport {
+			return logic.LoadReport{InFlight: 0.1 * load.InFlight, Queued: 0.1 * load.Queued, Utilization: 0.1 * load.Utilization, RequestsPerSecond: load.RequestsPerSecond, LatencyMs: 0.1 * load.LatencyMs}
 		}},
 		{"none", func(logic.LoadReport) logic.LoadReport { return logic.LoadReport{} }},
 		{"stuck", func(logic.LoadReport) logic.LoadReport {
 			return logic.LoadReport{InFlight: 1, Utilization: 0.3, RequestsPerSecond: 10, LatencyMs: 75}
 		}},
 	} {
-		t.Run(report.name, func(t *testing.T) {
-			inEach(t, reporting, nil, func(d *day) {
-				d.slowed(some, 2.5)
-				d.says = func(h *playedHost, l logic.LoadReport) logic.LoadReport {
-					if d.troubled() && slices.Contains(some, h.ID) {
-						return report.says(l)
+		t.Run(falseReport.name, func(t *testing.T) {
+			runFaultTest(t, reportsLoad, nil, func(sim *simulation) {
+				sim.slowDown(quarterOfHosts, 2.5)
+				sim.overrideReport = func(h *simHost, load logic.LoadReport) logic.LoadReport {
+					if sim.faultActive() && slices.Contains(quarterOfHosts, h.ID) {
+						return falseReport.falsify(load)
 					}
-					return l
+					return load
 				}
-			}, func(t *testing.T, calm, d *day) {
-				served(t, "all", calm, d, nil, someTx)
-				atMost(t, "hops to hosts that are slow and say that they are free", d.hopShare(some, nil), 0.25)
+			}, func(t *testing.T, faultFree, sim *simulation) {
+				checkServed(t, "all", faultFree, sim, nil, maxInGoalLoss)
+				checkAtMost(t, "hops to hosts that are slow and say that they are free", sim.hopFraction(quarterOfHosts, nil), 0.25)
 			})
 		})
 	}
@@ -212,96 +220,98 @@
 
 // Reports of full hosts that are free must not have transactions rolled back. Guards against reports trusted over answers, the other way:
 // the cores are a third in use.
-func TestReportsFullWhileFree(t *testing.T) { reportedFull(t, some) }
+func TestOverreportedLoad(t *testing.T) { testOverreportedLoad(t, quarterOfHosts) }
 
-func reportedFull(t *testing.T, ids []logic.HostID) {
-	inEach(t, reporting, nil, func(d *day) {
-		d.says = func(h *playedHost, l logic.LoadReport) logic.LoadReport {
-			if d.troubled() && slices.Contains(ids, h.ID) {
+func testOverreportedLoad(t *testing.T, ids []logic.HostID) {
+	runFaultTest(t, reportsLoad, nil, func(sim *simulation) {
+		sim.overrideReport = func(h *simHost, load logic.LoadReport) logic.LoadReport {
+			if sim.faultActive() && slices.Contains(ids, h.ID) {
 				return logic.LoadReport{InFlight: 40, Queued: 20, Utilization: 1, RequestsPerSecond: 20, LatencyMs: 1500}
 			}
-			return l
+			return load
 		}
-	}, func(t *testing.T, calm, d *day) { served(t, "all", calm, d, nil, someTx) })
+	}, func(t *testing.T, faultFree, sim *simulation) {
+		checkServed(t, "all", faultFree, sim, nil, maxInGoalLoss)
+	})
 }
 
 // The look-alike: hosts that are full, slow and say so are left for the others, as ever: reports that are true stay in use.
-func TestReportsOfFullHosts(t *testing.T) {
-	inEach(t, reporting, nil, func(d *day) { d.slowed(some, 6) }, func(t *testing.T, calm, d *day) {
-		served(t, "all", calm, d, nil, 0.1)
-		left(t, "hosts that are full", d, some, nil)
+func TestAccurateReportsOfSlowHosts(t *testing.T) {
+	runFaultTest(t, reportsLoad, nil, func(sim *simulation) { sim.slowDown(quarterOfHosts, 6) }, func(t *testing.T, faultFree, sim *simulation) {
+		checkServed(t, "all", faultFree, sim, nil, 0.1)
+		checkAvoided(t, "hosts that are full", sim, quarterOfHosts, nil)
 	})
 }
 
 // Hosts that fail and recover by turns, each at times of its own, which no list shows: most transactions go elsewhere, few hops meet one
 // that is down, and between times such hosts may be used. Guards against trials that each bring the whole traffic back.
 func TestFlappingHosts(t *testing.T) {
-	for _, end := range []logic.HopOutcome{logic.HopNoConnection, logic.HopError} {
-		t.Run(ended[end], func(t *testing.T) {
-			inEach(t, nil, func(p *deployment) {
-				p.profiles[orders].Effect, p.profiles[orders].DedupWindow = logic.Journalled, time.Second
-			}, func(d *day) {
-				d.fails = func(k *playedHop) (logic.HopOutcome, bool) {
-					down := d.troubled() && slices.Contains(some, k.host.ID) && (d.now+time.Duration(k.host.ID)*700*ms)%(3*time.Second) < 1500*ms
-					return end, down
+	for _, outcome := range []logic.HopOutcome{logic.HopNoConnection, logic.HopError} {
+		t.Run(outcomeNames[outcome], func(t *testing.T) {
+			runFaultTest(t, nil, func(d *deployment) {
+				d.profiles[orderProfileIndex].Effect, d.profiles[orderProfileIndex].DedupWindow = logic.Journalled, time.Second
+			}, func(sim *simulation) {
+				sim.failHop = func(hop *simHop) (logic.HopOutcome, bool) {
+					down := sim.faultActive() && slices.Contains(quarterOfHosts, hop.host.ID) && (sim.now+time.Duration(hop.host.ID)*700*ms)%(3*time.Second) < 1500*ms
+					return outcome, down
 				}
-			}, func(t *testing.T, calm, d *day) {
-				served(t, "all", calm, d, nil, someTx)
-				n := d.settled(nil)
-				atMost(t, "hops further for a transaction", n.of(n.further), 0.15)
+			}, func(t *testing.T, faultFree, sim *simulation) {
+				checkServed(t, "all", faultFree, sim, nil, maxInGoalLoss)
+				counts := sim.countAfterDetection(nil)
+				checkAtMost(t, "hops further for a transaction", counts.fraction(counts.furtherHops), 0.15)
 			})
 		})
 	}
 }
 
 // The look-alike: one blip of a fifth of a second at a host; it is used again at once, and no breaker bars it for seconds.
-func TestOneBlip(t *testing.T) {
-	inEach(t, nil, nil, func(d *day) {
-		d.fails = func(k *playedHop) (logic.HopOutcome, bool) {
-			at := d.now - time.Second
-			return logic.HopConnectionBroken, k.host.ID == 1 && at >= troubleFrom && at < troubleFrom+200*ms
+func TestBriefFailure(t *testing.T) {
+	runFaultTest(t, nil, nil, func(sim *simulation) {
+		sim.failHop = func(hop *simHop) (logic.HopOutcome, bool) {
+			at := sim.now - time.Second
+			return logic.HopConnectionBroken, hop.host.ID == 1 && at >= faultStart && at < faultStart+200*ms
 		}
-	}, func(t *testing.T, calm, d *day) {
-		served(t, "all", calm, d, nil, 0.02)
-		atLeast(t, "hops to the host of the blip", d.hopShare([]logic.HostID{1}, nil), halfEven/8)
+	}, func(t *testing.T, faultFree, sim *simulation) {
+		checkServed(t, "all", faultFree, sim, nil, 0.02)
+		checkAtLeast(t, "hops to the host of the blip", sim.hopFraction([]logic.HostID{1}, nil), maxAvoidedShareOfEven/8)
 	})
 }
 
 // A profile that fails at half of the hosts, by errors or silence, goes to the others; the hosts go on serving the other profile. Guards
 // against a host barred for all as one profile fails there, and against a profile given up that others serve.
-func TestProfileFailsAtHalf(t *testing.T) {
-	for _, end := range []logic.HopOutcome{logic.HopError, logic.HopTimedOut} {
-		t.Run(ended[end], func(t *testing.T) {
-			inEach(t, nil, func(p *deployment) { p.gateways, p.length = min(p.gateways, 24), 40*time.Second }, func(d *day) {
-				d.fails = func(k *playedHop) (logic.HopOutcome, bool) {
-					return end, d.troubled() && k.profile == orders && slices.Contains(half, k.host.ID) && k.id%10 < 9
+func TestProfileFailsAtHalfOfHosts(t *testing.T) {
+	for _, outcome := range []logic.HopOutcome{logic.HopError, logic.HopTimedOut} {
+		t.Run(outcomeNames[outcome], func(t *testing.T) {
+			runFaultTest(t, nil, func(d *deployment) { d.gatewayCount, d.arrivalDuration = min(d.gatewayCount, 24), 40*time.Second }, func(sim *simulation) {
+				sim.failHop = func(hop *simHop) (logic.HopOutcome, bool) {
+					return outcome, sim.faultActive() && hop.profileIndex == orderProfileIndex && slices.Contains(halfOfHosts, hop.host.ID) && hop.id%10 < 9
 				}
-			}, func(t *testing.T, calm, d *day) {
-				served(t, "reads", calm, d, ofProfile(reads), someTx)
-				served(t, "orders", calm, d, ofProfile(orders), 0.9/2/2) // half of what is lost with the hosts taken by chance
-				atLeast(t, "reads at hosts where orders fail", d.hopShare(half, func(k *playedHop) bool { return k.profile == reads }), 0.35)
+			}, func(t *testing.T, faultFree, sim *simulation) {
+				checkServed(t, "reads", faultFree, sim, hasProfile(readProfileIndex), maxInGoalLoss)
+				checkServed(t, "orders", faultFree, sim, hasProfile(orderProfileIndex), 0.9/2/2) // half of what is lost with the hosts taken by chance
+				checkAtLeast(t, "reads at hosts where orders fail", sim.hopFraction(halfOfHosts, func(hop *simHop) bool { return hop.profileIndex == readProfileIndex }), 0.35)
 			})
 		})
 	}
 }
 
 // A tenant whose transactions wait at all hosts: the other tenants are served as before.
-func TestTenantWaitsEverywhere(t *testing.T) {
-	waits(t, func(p *deployment) { p.tenants = 4 }, func(t *playedTx) bool { return t.tenant == 0 }, func(t *playedTx) bool { return t.tenant > 0 })
+func TestTenantSlowAtAllHosts(t *testing.T) {
+	testSlowTransactions(t, func(d *deployment) { d.tenantCount = 4 }, func(t *simTx) bool { return t.tenantIndex == 0 }, func(t *simTx) bool { return t.tenantIndex > 0 })
 }
 
-func waits(t *testing.T, change func(*deployment), who, others func(*playedTx) bool) {
-	inEach(t, nil, change, func(d *day) {
-		d.drags = func(k *playedHop) time.Duration {
-			if d.troubled() && who(k.playedTx) {
-				return 3 * d.profiles[k.profile].ServiceGoal / 2
+func testSlowTransactions(t *testing.T, change func(*deployment), isSlow, isOther func(*simTx) bool) {
+	runFaultTest(t, nil, change, func(sim *simulation) {
+		sim.extraWait = func(hop *simHop) time.Duration {
+			if sim.faultActive() && isSlow(hop.simTx) {
+				return 3 * sim.profiles[hop.profileIndex].ServiceGoal / 2
 			}
 			return 0
 		}
-	}, func(t *testing.T, calm, d *day) {
-		served(t, "the others", calm, d, others, someTx)
-		atMost(t, "breakers that opened", float64(len(d.breakers())), 0)
-		n := d.settled(nil)
-		atMost(t, "hops further for a transaction", n.of(n.further), 0.3)
+	}, func(t *testing.T, faultFree, sim *simulation) {
+		checkServed(t, "the others", faultFree, sim, isOther, maxInGoalLoss)
+		checkAtMost(t, "breakers that opened", float64(len(sim.breakerOpenings())), 0)
+		counts := sim.countAfterDetection(nil)
+		checkAtMost(t, "hops further for a transaction", counts.fraction(counts.furtherHops), 0.3)
 	})
 }
