--- a/logic/noloadinfo_test.go
+++ b/logic/noloadinfo_test.go
@@ -8,7 +8,7 @@
 	"spanmux/logic"
 )
 
-// startWithoutLoadInfo begins the scene of one of a hundred gateways to which nothing tells of hosts, with so many in its zone.
+// startWithoutLoadInfo starts one of a hundred gateways that get no load information, with hostCount hosts in its zone.
 func startWithoutLoadInfo(hostCount int, profiles ...logic.Profile) *testGateway {
 	var hosts []logic.Host
 	for id := logic.HostID(1); id <= logic.HostID(hostCount); id++ {
@@ -17,28 +17,29 @@
 	return startGatewayAmong(100, 3, logic.InformationSources{MaxListPollInterval: 10 * time.Second}, profiles, nil, hosts...)
 }
 
-// Blind gateways kept to five hosts for each transaction a second: with ten a second to a whole zone. As hosts accept
-// few connections, and each costs one as much as some work, a third of all hops got none and half of the rest was
-// rolled back. Hosts that a gateway meets once in some seconds teach it nothing either.
+// A gateway without load information uses few hosts. It used to use five hosts per transaction a second, so a whole zone
+// at ten a second. Hosts accept few connections, and each costs them some work: a third of all hops got no connection and
+// half of the rest was rolled back. A gateway also learns nothing from hosts that it uses once in several seconds.
 func TestSubsetWithoutLoadInfo(t *testing.T) {
 	gw := startWithoutLoadInfo(40, readProfile)
-	gw.runCommitted(1, 400, 0) // sixteen a second
+	gw.runCommitted(1, 400, 0) // at 16 per second
 	if n := len(gw.hopsByHost); n > 6 {
-		t.Errorf("met %d hosts, want a few", n)
+		t.Errorf("used %d hosts, want at most 6", n)
 	}
 }
 
-// The look-alike: what traffic keeps busy, and what stands in for hosts that refuse connections, is not cut short.
+// The counterpart of TestSubsetWithoutLoadInfo: a gateway uses more hosts if it has more traffic, or if the usual hosts
+// refuse connections.
 func TestSubsetGrowsWithTrafficAndRefusals(t *testing.T) {
 	gw := startWithoutLoadInfo(40, readProfile)
 	gw.quiet = true
-	for id := 1; id <= 1200; id++ { // two hundred a second
+	for id := 1; id <= 1200; id++ { // 200 per second
 		gw.receive(id, 0, -1)
 		gw.advance(5 * ms)
 		gw.endHop(id, 0, logic.HopCommitted, 5*ms)
 	}
 	if n := len(gw.hopsByHost); n < 12 {
-		t.Errorf("met %d hosts with two hundred transactions a second, want more", n)
+		t.Errorf("used %d hosts at 200 transactions per second, want at least 12", n)
 	}
 	gw = startWithoutLoadInfo(40, readProfile)
 	gw.runCommitted(1, 100, 0)
@@ -61,11 +62,12 @@
 		}
 	}
 	if newHosts == 0 {
-		t.Error(fmt.Sprint("no further host met as all usual ones refused connections: ", gw.hopsByHost))
+		t.Error(fmt.Sprint("no other host used although all usual ones refused connections: ", gw.hopsByHost))
 	}
 }
 
-// startTwoZonesWithoutLoadInfo begins a blind scene with as many hosts in zone a, the own one, as in zone b, where those have ids from 100.
+// startTwoZonesWithoutLoadInfo starts one of a hundred gateways that get no load information, in zone a. Both zones have
+// hostsPerZone hosts; the ids of those in zone b are above 100.
 func startTwoZonesWithoutLoadInfo(hostsPerZone int, costModel logic.CostModel, profiles ...logic.Profile) *testGateway {
 	var hosts []logic.Host
 	for id := logic.HostID(1); id <= logic.HostID(hostsPerZone); id++ {
@@ -76,8 +78,8 @@
 	return gw
 }
 
-// runWithOwnZoneFailures plays transactions of which three in five that go to the own zone end so, and returns how many of
-// the last hundred hops went there.
+// runWithOwnZoneFailures runs 300 transactions. Three in five of those sent to the own zone end with outcome, further hops
+// included. It returns how many of the last hundred transactions were first sent to the own zone.
 func (gw *testGateway) runWithOwnZoneFailures(outcome logic.HopOutcome) (ownZoneHops int) {
 	for id := 1; id <= 300; id++ {
 		gw.lastHost = 0
@@ -97,17 +99,19 @@
 	return ownZoneHops
 }
 
-// Hops from some gateways to the hosts of a building were reset, and no breaker opened: so did hops to the other hosts
-// there, and that was taken for errors of the transactions. A link that fails is no less broken as others are.
+// A zone whose links fail is avoided. When hops from some gateways to all hosts of a zone failed with broken connections, no
+// breaker opened, because the failures at the other hosts of the zone made them look like errors of the transactions. Failed
+// connections count even if those to other hosts fail too.
 func TestZoneWithFailingLinksIsAvoided(t *testing.T) {
 	for _, outcome := range []logic.HopOutcome{logic.HopConnectionBroken, logic.HopNoConnection} {
 		if ownZoneHops := startTwoZonesWithoutLoadInfo(12, logic.CostModel{}, readProfile).runWithOwnZoneFailures(outcome); ownZoneHops > 35 {
-			t.Errorf("end %d: %d of 100 hops still go to the zone whose links fail", outcome, ownZoneHops)
+			t.Errorf("outcome %d: %d of 100 hops still go to the zone with failing links", outcome, ownZoneHops)
 		}
 	}
 }
 
-// The look-alike: transactions that err wherever they go show nothing of hosts or zones.
+// The counterpart of TestZoneWithFailingLinksIsAvoided: transactions that fail with errors at any host say nothing about
+// hosts or zones.
 func TestTransactionErrorsKeepTrafficInZone(t *testing.T) {
 	gw := startTwoZonesWithoutLoadInfo(12, logic.CostModel{}, readProfile)
 	for id := 1; id <= 300; id++ {
@@ -120,6 +124,7 @@
 	}
 }
 
+// crossZoneHops returns the number of hops to hosts in zone b.
 func (gw *testGateway) crossZoneHops() (total int) {
 	for id, hops := range gw.hopsByHost {
 		if id >= 100 {
@@ -129,7 +134,7 @@
 	return total
 }
 
-// A zone of which few hosts are barred is not left: the others there are well.
+// Traffic does not leave a zone in which breakers bar only one host, because the other hosts are healthy.
 func TestOneFailingHostKeepsTrafficInZone(t *testing.T) {
 	gw := startTwoZonesWithoutLoadInfo(12, logic.CostModel{}, readProfile)
 	gw.runCommitted(1, 20, 0)
@@ -149,7 +154,8 @@
 	}
 }
 
-// Hosts that remember keys were met by chance: each of a gateway's few saw all keys and forgot them.
+// Transactions with the same affinity key go to the same host. When hosts were picked at random, each of the gateway's few
+// hosts got all keys and evicted them from its cache.
 func TestAffinityKeysWithoutLoadInfo(t *testing.T) {
 	gw := startTwoZonesWithoutLoadInfo(12, logic.CostModel{}, readProfile)
 	hostsUsed := map[logic.HostID]bool{}
@@ -164,15 +170,16 @@
 		}
 		hostsUsed[gw.lastHost] = true
 		if len(hopsByHost) > 2 {
-			t.Errorf("key %d met %d hosts", key, len(hopsByHost))
+			t.Errorf("key %d went to %d hosts", key, len(hopsByHost))
 		}
 	}
-	if len(hostsUsed) < 4 { // the look-alike: many keys are no reason to leave hosts idle
-		t.Errorf("thirty keys met %d hosts", len(hostsUsed))
+	if len(hostsUsed) < 4 { // many different keys still use several hosts
+		t.Errorf("thirty keys went to only %d hosts", len(hostsUsed))
 	}
 }
 
-// runWithLatencies plays answers that take so long by turns, and returns how many of the last hundred were rolled back.
+// runWithLatencies runs 400 transactions, committed with the given latencies in turn, and returns how many of the last hundred
+// were rolled back.
 func (gw *testGateway) runWithLatencies(latencies ...time.Duration) (rolledBack int) {
 	for id := 1; id <= 400; id++ {
 		hops := 0
@@ -193,15 +200,16 @@
 	return rolledBack
 }
 
-// Work differs: one answer in eight that took ten times as long counted as a jam of its zone, and where nines count,
-// with hosts half idle a tenth to a quarter of a quiet day was rolled back.
+// Long work is not taken as congestion: one answer in eight takes ten times as long as the others. It used to count as congestion of
+// the zone, and if the cost model counts availability in nines, a tenth to a quarter of the transactions was rolled back with hosts
+// half idle.
 func TestLongWorkIsNotCongestion(t *testing.T) {
 	costModel := logic.CostModel{AvailabilityNines: 3}
 	if rolledBack := startTwoZonesWithoutLoadInfo(12, costModel, readProfile).runWithLatencies(60*ms, 60*ms, 60*ms, 600*ms, 60*ms, 60*ms, 60*ms, 60*ms); rolledBack > 2 {
-		t.Errorf("%d of 100 rolled back for long work", rolledBack)
+		t.Errorf("%d of 100 rolled back because of long work", rolledBack)
 	}
-	// The look-alike: what takes long everywhere is one.
+	// The counterpart: if all answers are slow, the zone is congested.
 	if rolledBack := startTwoZonesWithoutLoadInfo(12, costModel, readProfile).runWithLatencies(300 * ms); rolledBack < 50 {
-		t.Errorf("only %d of 100 rolled back in a jam", rolledBack)
+		t.Errorf("only %d of 100 rolled back under congestion", rolledBack)
 	}
 }
--- a/logic/profiletenant_test.go
+++ b/logic/profiletenant_test.go
@@ -9,7 +9,8 @@
 	"spanmux/logic"
 )
 
-// runTransactions plays n transactions 20 ms apart, each answered after what took gives for it, waits for the last, and tells how many went.
+// runTransactions sends count transactions 20 ms apart, commits the hop of each after its latency, and waits for the last. It returns how many
+// were admitted, that is sent to a host.
 func (gw *testGateway) runTransactions(first, count, profile int, tenant func(id int) int, latency func(id int) time.Duration) (admitted int) {
 	gw.quiet = true
 	type answer struct {
@@ -37,6 +38,7 @@
 	return admitted
 }
 
+// totalHops returns the number of hops sent so far to all hosts.
 func (gw *testGateway) totalHops() (n int) {
 	for _, hops := range gw.hopsByHost {
 		n += hops
@@ -44,13 +46,14 @@
 	return n
 }
 
+// noTenant is the tenant of transactions that belong to none.
 func noTenant(int) int { return -1 }
 
 func constantLatency(latency time.Duration) func(int) time.Duration {
 	return func(int) time.Duration { return latency }
 }
 
-// longOneIn is a long answer for one in n, else a short one.
+// longOneIn returns the long latency for one in n transactions and the short one for the others.
 func longOneIn(n int, long, short time.Duration) func(int) time.Duration {
 	return func(id int) time.Duration {
 		if id%n == 0 {
@@ -60,8 +63,10 @@
 	}
 }
 
+// peersShareSources are the sources of gateways that send each other their in-flight counts.
 var peersShareSources = logic.InformationSources{PeersShareInFlight: true, MaxListPollInterval: 10 * time.Second}
 
+// readyHosts returns hosts of zone a with the ids from 1 to count.
 func readyHosts(count int) (hosts []logic.Host) {
 	for id := range count {
 		hosts = append(hosts, readyHost(logic.HostID(id+1), "a", 1))
@@ -69,23 +74,23 @@
 	return hosts
 }
 
-// What a part of a profile waits for, wherever it goes, does not make the rest look as long: one in three answers took 900 ms, and
-// the others were rolled back at hosts that answer them in 60. Where all are answered past their goal there is no such part, and
-// they are rolled back but for some tries.
+// If one in three transactions of a profile takes 900 ms at every host, the rest of the profile, which hosts answer in 60 ms, is still
+// admitted. The rest was rolled back when the long latencies counted for all. If every answer misses the service goal, the profile is
+// rolled back except for a few tries.
 func Example_slowPartOfProfile() {
 	for _, longEvery := range []int{3, 1} {
 		gw := startGatewayAmong(2, 0, peersShareSources, []logic.Profile{readProfile}, nil, readyHosts(30)...)
 		gw.runTransactions(1, 200, 0, noTenant, constantLatency(60*ms))
 		gw.runTransactions(1001, 500, 0, noTenant, longOneIn(longEvery, 900*ms, 60*ms))
-		fmt.Println(gw.runTransactions(2001, 200, 0, noTenant, longOneIn(longEvery, 900*ms, 60*ms)), "of 200 went")
+		fmt.Println(gw.runTransactions(2001, 200, 0, noTenant, longOneIn(longEvery, 900*ms, 60*ms)), "of 200 admitted")
 	}
 	// Output:
-	// 184 of 200 went
-	// 8 of 200 went
+	// 184 of 200 admitted
+	// 8 of 200 admitted
 }
 
-// A profile that no host answers in time is rolled back, but tried now and then: as others kept hosts heard of it had stayed barred
-// for good after its cause was gone. While the cause lasts no more than tries go.
+// A profile that no host answers within its goal is rolled back, except for a try now and then, and is admitted again once hosts answer
+// in time. Without the tries it stayed barred for good, because the answers of another profile kept the state of the hosts fresh.
 func Example_slowProfileRecovers() {
 	gw := startGatewayAmong(2, 0, peersShareSources, []logic.Profile{readProfile, orderProfile}, nil, readyHosts(30)...)
 	for round := range 50 {
@@ -95,24 +100,24 @@
 		}
 		gw.runTransactions(10000+100*round, 20, 0, noTenant, constantLatency(60*ms))
 		if admitted := gw.runTransactions(20000+100*round, 20, 1, noTenant, constantLatency(latency)); round%10 > 7 {
-			fmt.Println(latency, admitted, "of 20 went")
+			fmt.Println(latency, admitted, "of 20 admitted")
 		}
 	}
 	// Output:
-	// 60ms 20 of 20 went
-	// 60ms 20 of 20 went
-	// 900ms 0 of 20 went
-	// 900ms 0 of 20 went
-	// 900ms 0 of 20 went
-	// 900ms 0 of 20 went
-	// 60ms 20 of 20 went
-	// 60ms 20 of 20 went
-	// 60ms 20 of 20 went
-	// 60ms 20 of 20 went
+	// 60ms 20 of 20 admitted
+	// 60ms 20 of 20 admitted
+	// 900ms 0 of 20 admitted
+	// 900ms 0 of 20 admitted
+	// 900ms 0 of 20 admitted
+	// 900ms 0 of 20 admitted
+	// 60ms 20 of 20 admitted
+	// 60ms 20 of 20 admitted
+	// 60ms 20 of 20 admitted
+	// 60ms 20 of 20 admitted
 }
 
-// Where revenue is by work a profile yields to one that earns half as much again, so that more of that go where hosts are full.
-// Where it is by transaction the work is a guess, and what looks like half as much again may be none: neither yields.
+// If revenue is per unit of work, a profile yields to one that earns 1.5 times as much, so that more of the latter are admitted when hosts are
+// full. If revenue is per transaction, the work is an estimate and a ratio of 1.5 may be an error of the estimate, so neither yields.
 func Example_yieldToHigherRevenueByWork() {
 	highRevenue := orderProfile
 	highRevenue.Revenue = 1.5
@@ -135,7 +140,8 @@
 	// [5 4]
 }
 
-// What no host answers in time, though it earns most, has none yield to it: all others had been rolled back with it.
+// A profile that no host answers within its goal has no other profile yield to it, even if it earns most. Otherwise all other profiles were
+// rolled back together with it.
 func Example_noYieldToSlowProfile() {
 	highRevenue := orderProfile
 	highRevenue.Revenue = 5
@@ -146,13 +152,13 @@
 		gw.runTransactions(id, 10, 1, noTenant, constantLatency(900*ms))
 		admitted += gw.runTransactions(id+50, 10, 0, noTenant, constantLatency(60*ms))
 	}
-	fmt.Println(admitted, "of 400 went")
+	fmt.Println(admitted, "of 400 admitted")
 	// Output:
-	// 400 of 400 went
+	// 400 of 400 admitted
 }
 
-// One tenant's transactions wait long at every host: no host is thought full, slow or broken by them, and the others go as ever.
-// Where all tenants' do, it is the hosts.
+// If the transactions of one tenant are slow at every host, no host is taken as full, slow or broken because of them, and the other tenants
+// are admitted as before. If those of all tenants are slow, the hosts are the cause and most are rolled back.
 func Example_slowTenant() {
 	tenants := []logic.Tenant{{"slow", 20}, {"second", 20}, {"third", 20}}
 	for _, allSlow := range []bool{false, true} {
@@ -165,15 +171,16 @@
 			}
 			return 60 * ms
 		})
-		fmt.Println(admitted, "of 600 went")
+		fmt.Println(admitted, "of 600 admitted")
 	}
 	// Output:
-	// 556 of 600 went
-	// 34 of 600 went
+	// 556 of 600 admitted
+	// 34 of 600 admitted
 }
 
-// Where one in three hops misses its goal whoever sends them, chance hardly takes a tenant for slow: with none at all 1245 go, from half of
-// its hops on 1173 did, as its hops filled hosts unseen.
+// If one in three hops misses its goal, the same for all tenants, hardly any tenant is taken as an outlier by chance. 1245 transactions are
+// admitted if no tenant can be an outlier. With a threshold of half of a tenant's hops it was 1173, because the hops of supposed outliers
+// loaded the hosts without being counted.
 func Example_noOutlierTenantByChance() {
 	var tenants []logic.Tenant
 	for i := range 8 {
@@ -187,12 +194,12 @@
 		latencies[id] = []time.Duration{60 * ms, 500 * ms}[random.IntN(3)/2]
 	}
 	admitted := gw.runTransactions(1000, 2000, 0, tenantOf, func(id int) time.Duration { return latencies[id] })
-	fmt.Println(admitted, "of 2000 went")
+	fmt.Println(admitted, "of 2000 admitted")
 	// Output:
-	// 1240 of 2000 went
+	// 1240 of 2000 admitted
 }
 
-// A tenant that other rules leave out while its transactions are out: their ends had been looked up among the tenants left.
+// A new configuration removes a tenant that has hops in flight. The ends of such hops were looked up among the remaining tenants.
 func Example_tenantRemovedWithHopsInFlight() {
 	tenants := []logic.Tenant{{"first", 20}, {"second", 20}}
 	gw := startGateway([]logic.Profile{readProfile}, tenants, readyHost(1, "a", 1))
