--- a/logic/coldfleet_test.go
+++ b/logic/coldfleet_test.go
@@ -91,68 +91,68 @@
 }
 
 // capacityFraction returns the fraction of its full capacity that the host has now.
-func (c *countingHost) capacityFraction() float64 {
-	if c.StartedAt == 0 {
+func (h *countingHost) capacityFraction() float64 {
+	if h.StartedAt == 0 {
 		return 1
 	}
-	rule := c.fleet.coldRule
-	return min(1, rule.InitialCapacityFraction+(1-rule.InitialCapacityFraction)*float64(c.fleet.now-c.StartedAt)/float64(rule.WarmUpDuration))
+	rule := h.fleet.coldRule
+	return min(1, rule.InitialCapacityFraction+(1-rule.InitialCapacityFraction)*float64(h.fleet.now-h.StartedAt)/float64(rule.WarmUpDuration))
 }
 
 // hopLimit bounds the hops of all gateways to the host within the OverloadDuration that ends now. The budget is
 // OverloadMultiple times what the host can serve in that time; the limit adds an allowance for chance.
-func (c *countingHost) hopLimit() (budget, limit float64) {
-	rule := c.fleet.coldRule
-	budget = rule.OverloadMultiple * c.capacityFraction() * float64(c.fleet.scenario.slotsPerHost) * float64(rule.OverloadDuration) / float64(c.fleet.scenario.hopTime)
+func (h *countingHost) hopLimit() (budget, limit float64) {
+	rule := h.fleet.coldRule
+	budget = rule.OverloadMultiple * h.capacityFraction() * float64(h.fleet.scenario.slotsPerHost) * float64(rule.OverloadDuration) / float64(h.fleet.scenario.hopTime)
 	return budget, budget + 2*math.Sqrt(budget) + 2
 }
 
 // receiveHop counts a hop that arrives while the host is cold, and calls done when the hop has been served.
-func (c *countingHost) receiveHop(done func(latency time.Duration, load logic.LoadReport)) {
-	f, receivedAt := c.fleet, c.fleet.now
-	if c.StartedAt > 0 && f.now-c.StartedAt < f.coldRule.WarmUpDuration {
+func (h *countingHost) receiveHop(done func(latency time.Duration, load logic.LoadReport)) {
+	f, receivedAt := h.fleet, h.fleet.now
+	if h.StartedAt > 0 && f.now-h.StartedAt < f.coldRule.WarmUpDuration {
 		f.coldHops++
-		c.coldHopTimes = append(c.coldHopTimes, f.now)
-		for c.coldHopTimes[0] <= f.now-f.coldRule.OverloadDuration {
-			c.coldHopTimes = c.coldHopTimes[1:]
+		h.coldHopTimes = append(h.coldHopTimes, f.now)
+		for h.coldHopTimes[0] <= f.now-f.coldRule.OverloadDuration {
+			h.coldHopTimes = h.coldHopTimes[1:]
 		}
-		budget, limit := c.hopLimit()
-		f.maxLimitRatio = max(f.maxLimitRatio, float64(len(c.coldHopTimes))/limit)
-		if f.firstViolation == "" && float64(len(c.coldHopTimes)) > limit {
-			f.firstViolation = fmt.Sprintf("%d hops in a window at host age %v: budget %.1f, limit with chance %.1f", len(c.coldHopTimes),
-				(f.now - c.StartedAt).Round(10*ms), budget, limit)
+		budget, limit := h.hopLimit()
+		f.maxLimitRatio = max(f.maxLimitRatio, float64(len(h.coldHopTimes))/limit)
+		if f.firstViolation == "" && float64(len(h.coldHopTimes)) > limit {
+			f.firstViolation = fmt.Sprintf("%d hops in a window at host age %v: budget %.1f, limit with chance %.1f", len(h.coldHopTimes),
+				(f.now - h.StartedAt).Round(10*ms), budget, limit)
 		}
 	}
-	if c.hangs {
+	if h.hangs {
 		return
 	}
 	firstFree := 0
-	for i := range c.slotFreeAt {
-		if c.slotFreeAt[i] < c.slotFreeAt[firstFree] {
+	for i := range h.slotFreeAt {
+		if h.slotFreeAt[i] < h.slotFreeAt[firstFree] {
 			firstFree = i
 		}
 	}
-	startAt := max(f.now, c.slotFreeAt[firstFree])
-	c.slotFreeAt[firstFree] = startAt + time.Duration(float64(f.scenario.hopTime)/c.capacityFraction())
-	c.inFlight++
+	startAt := max(f.now, h.slotFreeAt[firstFree])
+	h.slotFreeAt[firstFree] = startAt + time.Duration(float64(f.scenario.hopTime)/h.capacityFraction())
+	h.inFlight++
 	if startAt > f.now {
-		c.queued++
-		f.schedule(startAt-f.now, func() { c.queued-- })
+		h.queued++
+		f.schedule(startAt-f.now, func() { h.queued-- })
 	}
-	f.schedule(c.slotFreeAt[firstFree]-f.now, func() {
-		c.inFlight--
-		done(f.now-receivedAt, c.loadReport())
+	f.schedule(h.slotFreeAt[firstFree]-f.now, func() {
+		h.inFlight--
+		done(f.now-receivedAt, h.loadReport())
 	})
 }
 
 // loadReport returns the load with the values that hosts of the scenario report.
-func (c *countingHost) loadReport() logic.LoadReport {
+func (h *countingHost) loadReport() logic.LoadReport {
 	load := logic.NoLoadReport
-	if sources := c.fleet.scenario.sources; sources.ResponsesReportInFlight || sources.ResponsesReportLoad || sources.ProbesReportLoad {
-		load.InFlight, load.Queued = float64(c.inFlight), float64(c.queued)
+	if sources := h.fleet.scenario.sources; sources.ResponsesReportInFlight || sources.ResponsesReportLoad || sources.ProbesReportLoad {
+		load.InFlight, load.Queued = float64(h.inFlight), float64(h.queued)
 	}
-	if c.fleet.scenario.sources.ResponsesReportInFlight {
-		load.Utilization = min(1, float64(c.inFlight)/float64(c.fleet.scenario.slotsPerHost))
+	if h.fleet.scenario.sources.ResponsesReportInFlight {
+		load.Utilization = min(1, float64(h.inFlight)/float64(h.fleet.scenario.slotsPerHost))
 	}
 	return load
 }
@@ -175,79 +175,79 @@
 	hopEnded []bool // by hop index
 }
 
-func (p *fleetGateway) SendHop(id logic.TxID, host logic.HostID, timeout time.Duration) {
-	f, tx, process, sentAt := p.fleet, p.txs[id], p.processCount, p.fleet.now
+func (g *fleetGateway) SendHop(id logic.TxID, host logic.HostID, timeout time.Duration) {
+	f, tx, process, sentAt := g.fleet, g.txs[id], g.processCount, g.fleet.now
 	hopIndex := len(tx.hopEnded)
 	tx.hopEnded = append(tx.hopEnded, false)
 	f.schedule(ms, func() {
 		f.hosts[host-1].receiveHop(func(latency time.Duration, load logic.LoadReport) {
 			f.schedule(ms, func() {
-				p.endHop(process, id, hopIndex, logic.HopResult{Outcome: logic.HopCommitted, Latency: f.now - sentAt, Load: load})
+				g.endHop(process, id, hopIndex, logic.HopResult{Outcome: logic.HopCommitted, Latency: f.now - sentAt, Load: load})
 			})
 		})
 	})
 	f.schedule(timeout, func() {
-		p.endHop(process, id, hopIndex, logic.HopResult{Outcome: logic.HopTimedOut, Latency: timeout, Load: logic.NoLoadReport})
+		g.endHop(process, id, hopIndex, logic.HopResult{Outcome: logic.HopTimedOut, Latency: timeout, Load: logic.NoLoadReport})
 	})
 }
 
 // endHop reports the outcome of a hop, unless it has ended already or its process has been replaced.
-func (p *fleetGateway) endHop(process int, id logic.TxID, hopIndex int, result logic.HopResult) {
-	tx := p.txs[id]
-	if p.processCount != process || tx.hopEnded[hopIndex] {
+func (g *fleetGateway) endHop(process int, id logic.TxID, hopIndex int, result logic.HopResult) {
+	tx := g.txs[id]
+	if g.processCount != process || tx.hopEnded[hopIndex] {
 		return
 	}
 	tx.hopEnded[hopIndex] = true
 	tx.answered = tx.answered || result.Outcome == logic.HopCommitted
-	p.HopEnded(p.fleet.now, id, hopIndex, result, tx.answered)
+	g.HopEnded(g.fleet.now, id, hopIndex, result, tx.answered)
 }
 
-func (p *fleetGateway) CallOff(id logic.TxID, hopIndex int) {
-	process := p.processCount
-	p.fleet.schedule(0, func() {
-		p.endHop(process, id, hopIndex, logic.HopResult{Outcome: logic.HopCalledOff, Latency: p.fleet.scenario.hopTime, Load: logic.NoLoadReport})
+func (g *fleetGateway) CallOff(id logic.TxID, hopIndex int) {
+	process := g.processCount
+	g.fleet.schedule(0, func() {
+		g.endHop(process, id, hopIndex, logic.HopResult{Outcome: logic.HopCalledOff, Latency: g.fleet.scenario.hopTime, Load: logic.NoLoadReport})
 	})
 }
-func (p *fleetGateway) RollBack(id logic.TxID, retryAfter time.Duration) { p.txs[id].answered = true }
-func (p *fleetGateway) Abandon(id logic.TxID)                            { p.txs[id].answered = true }
-func (p *fleetGateway) CloseIdleConnections(id logic.HostID)             {}
-func (p *fleetGateway) Log(line string)                                  {}
-func (p *fleetGateway) Probe(id logic.HostID) {
-	f, process := p.fleet, p.processCount
+func (g *fleetGateway) RollBack(id logic.TxID, retryAfter time.Duration) { g.txs[id].answered = true }
+func (g *fleetGateway) Abandon(id logic.TxID)                            { g.txs[id].answered = true }
+func (g *fleetGateway) CloseIdleConnections(id logic.HostID)             {}
+func (g *fleetGateway) Log(line string)                                  {}
+func (g *fleetGateway) Probe(id logic.HostID) {
+	f, process := g.fleet, g.processCount
 	f.schedule(2*ms, func() {
-		if p.processCount == process {
-			p.ProbeEnded(f.now, id, f.hosts[id-1].loadReport())
+		if g.processCount == process {
+			g.ProbeEnded(f.now, id, f.hosts[id-1].loadReport())
 		}
 	})
 }
-func (p *fleetGateway) SendPeerMessage(to int, entries []logic.PeerEntry) {
-	if p.fleet.dropPeerMessages {
+func (g *fleetGateway) SendPeerMessage(to int, entries []logic.PeerEntry) {
+	if g.fleet.dropPeerMessages {
 		return
 	}
-	f, entriesCopy := p.fleet, append([]logic.PeerEntry{}, entries...)
+	f, entriesCopy := g.fleet, append([]logic.PeerEntry{}, entries...)
 	f.schedule(2*ms, func() {
 		for i, other := range f.gateways {
-			if other != p && (to == i || to < 0) {
-				other.PeerMessageReceived(f.now, p.index, entriesCopy)
+			if other != g && (to == i || to < 0) {
+				other.PeerMessageReceived(f.now, g.index, entriesCopy)
 			}
 		}
 	})
 }
-func (p *fleetGateway) RequestHostList() {
-	f, process := p.fleet, p.processCount
+func (g *fleetGateway) RequestHostList() {
+	f, process := g.fleet, g.processCount
 	f.schedule(5*ms, func() {
-		if p.processCount == process {
-			p.listReceived = true
-			p.HostListReceived(f.now, logic.ListComplete, f.currentList())
+		if g.processCount == process {
+			g.listReceived = true
+			g.HostListReceived(f.now, logic.ListComplete, f.currentList())
 		}
 	})
 }
-func (p *fleetGateway) SetTimer(delay time.Duration) {
-	p.timerCount++
-	process, timer := p.processCount, p.timerCount
-	p.fleet.schedule(delay, func() {
-		if p.processCount == process && p.timerCount == timer {
-			p.TimerFired(p.fleet.now)
+func (g *fleetGateway) SetTimer(delay time.Duration) {
+	g.timerCount++
+	process, timer := g.processCount, g.timerCount
+	g.fleet.schedule(delay, func() {
+		if g.processCount == process && g.timerCount == timer {
+			g.TimerFired(g.fleet.now)
 		}
 	})
 }
@@ -265,25 +265,25 @@
 }
 
 // startProcess starts a new process of the gateway. What the previous one knew is lost.
-func (p *fleetGateway) startProcess() {
-	f := p.fleet
-	p.processCount++
-	p.txs, p.listReceived = map[logic.TxID]*fleetTx{}, false
+func (g *fleetGateway) startProcess() {
+	f := g.fleet
+	g.processCount++
+	g.txs, g.listReceived = map[logic.TxID]*fleetTx{}, false
 	profile := logic.Profile{Name: "read", Effect: logic.Idempotent, ServiceGoal: 20 * f.scenario.hopTime, Revenue: 1}
-	p.Balancer = logic.New(p, f.now, uint64(1000*p.processCount+p.index), logic.Topology{GatewayCount: cmp.Or(f.scenario.configuredGateways, f.scenario.gatewayCount), GatewayIndex: p.index, Zone: "a",
+	g.Balancer = logic.New(g, f.now, uint64(1000*g.processCount+g.index), logic.Topology{GatewayCount: cmp.Or(f.scenario.configuredGateways, f.scenario.gatewayCount), GatewayIndex: g.index, Zone: "a",
 		Zones: []string{"a"}}, []logic.Profile{profile}, nil, f.coldRule, logic.DrainRule{},
 		logic.HopRule{MaxHops: 2, CallOff: true, MaxRetryAfter: time.Second}, f.scenario.sources, logic.CostModel{})
-	p.HostListReceived(f.now, logic.ListComplete, f.currentList())
+	g.HostListReceived(f.now, logic.ListComplete, f.currentList())
 }
 
 // scheduleArrival makes transactions arrive at the gateway as a Poisson process.
-func (p *fleetGateway) scheduleArrival(perSecond float64) {
-	f := p.fleet
+func (g *fleetGateway) scheduleArrival(perSecond float64) {
+	f := g.fleet
 	f.schedule(time.Duration(f.random.ExpFloat64()/perSecond*float64(time.Second)), func() {
-		p.lastTx++
-		p.txs[p.lastTx] = &fleetTx{}
-		p.TransactionReceived(f.now, p.lastTx, logic.Arrival{TenantIndex: -1, Budget: 40 * f.scenario.hopTime})
-		p.scheduleArrival(perSecond)
+		g.lastTx++
+		g.txs[g.lastTx] = &fleetTx{}
+		g.TransactionReceived(f.now, g.lastTx, logic.Arrival{TenantIndex: -1, Budget: 40 * f.scenario.hopTime})
+		g.scheduleArrival(perSecond)
 	})
 }
 
--- a/logic/faultinjection_test.go
+++ b/logic/faultinjection_test.go
@@ -13,10 +13,10 @@
 // fault that looks alike but needs a different reaction. Results are compared with the same run without the fault, for the transactions
 // that arrive after the gateways have had a third of the fault's duration to detect it.
 const (
-	faultStart            = 6 * time.Second
-	faultFreeTail         = 2 * time.Second // from the end of the fault to the end of the run
-	maxInGoalLoss         = 0.05            // in the fraction committed within the goal, compared with the run without the fault
-	maxAvoidedShareOfEven = 0.5             // hops to hosts that are to be avoided, relative to an even share
+	faultStart         = 6 * time.Second
+	faultFreeTail      = 2 * time.Second // from the end of the fault to the end of the run
+	maxInGoalLoss      = 0.05            // in the fraction committed within the goal, compared with the run without the fault
+	avoidedShareOfEven = 0.5             // hops to hosts that are to be avoided, relative to an even share
 )
 
 // faultSourceCases are small and large numbers of gateways with very different information about hosts.
@@ -46,23 +46,23 @@
 // faultDeployment returns the deployment of the source case with index i.
 func faultDeployment(i int) deployment {
 	sourceCase := faultSourceCases[i]
-	d := deployment{sourcesName: sourceCase.name, infoSources: sourceCase.sources, reportedFields: sourceCase.reportedFields, gatewayCount: sourceCase.gatewayCount, zoneCount: 2, hostCount: 8, coresPerHost: 2, slotsPerHost: 20, sharesCores: true,
+	d := deployment{sourcesName: sourceCase.name, sources: sourceCase.sources, reportedFields: sourceCase.reportedFields, gatewayCount: sourceCase.gatewayCount, zoneCount: 2, hostCount: 8, coresPerHost: 2, slotsPerHost: 20, sharesCores: true,
 		slowKindSpeed: 1, workDistribution: "exponential", waitToWorkRatio: 0.5, seed: uint64(i), arrivalDuration: 20 * time.Second, txPerSecond: 80,
 		costModel: logic.CostModel{CrossZoneHop: 0.02}, hopRule: logic.HopRule{MaxHops: 3, CallOff: true, MaxRetryAfter: time.Second},
 		profiles: []simProfile{
 			{Profile: logic.Profile{Name: "read", Effect: logic.Idempotent, ServiceGoal: 600 * ms, Revenue: 1, LateRevenueFraction: 0.3}, trafficFraction: 0.7, meanWork: 50 * ms},
 			{Profile: logic.Profile{Name: "order", Effect: logic.NonIdempotent, ServiceGoal: 1200 * ms, Revenue: 3, LateRevenueFraction: 0.3}, trafficFraction: 0.3,
 				meanWork: 100 * ms}}}
-	d.infoSources.MaxListPollInterval = 10 * time.Second
+	d.sources.MaxListPollInterval = 10 * time.Second
 	return d
 }
 
 // faultFreeRuns returns the run of each source case without a fault or changes. Each is run once, when it is first needed.
-var faultFreeRuns = func() (days []func() *simulation) {
+var faultFreeRuns = func() (runs []func() *simulation) {
 	for i := range faultSourceCases {
-		days = append(days, sync.OnceValue(func() *simulation { return newSimulation(faultDeployment(i), false).runToEnd() }))
+		runs = append(runs, sync.OnceValue(func() *simulation { return newSimulation(faultDeployment(i), false).runToEnd() }))
 	}
-	return days
+	return runs
 }()
 
 // runToEnd runs the simulation until all transactions have had time to end.
@@ -136,32 +136,32 @@
 	return float64(toHosts) / float64(max(1, all))
 }
 
-func checkAtLeast(t *testing.T, what string, got, min float64) {
+func checkAtLeast(t *testing.T, quantity string, got, min float64) {
 	t.Helper()
 	if got < min {
-		t.Errorf("%s: %.3f, must be at least %.3f", what, got, min)
+		t.Errorf("%s: %.3f, must be at least %.3f", quantity, got, min)
 	}
 }
 
-func checkAtMost(t *testing.T, what string, got, max float64) {
+func checkAtMost(t *testing.T, quantity string, got, max float64) {
 	t.Helper()
 	if got > max {
-		t.Errorf("%s: %.3f, must be at most %.3f", what, got, max)
+		t.Errorf("%s: %.3f, must be at most %.3f", quantity, got, max)
 	}
 }
 
 // checkAvoided checks that hosts get at most half of an even share of the hops that filter selects.
-func checkAvoided(t *testing.T, what string, sim *simulation, hosts []logic.HostID, filter func(*simHop) bool) {
+func checkAvoided(t *testing.T, description string, sim *simulation, hosts []logic.HostID, filter func(*simHop) bool) {
 	t.Helper()
-	checkAtMost(t, "hops to "+what, sim.hopFraction(hosts, filter), maxAvoidedShareOfEven*float64(len(hosts))/float64(sim.hostCount))
+	checkAtMost(t, "hops to "+description, sim.hopFraction(hosts, filter), avoidedShareOfEven*float64(len(hosts))/float64(sim.hostCount))
 }
 
 // checkServed checks that the fraction committed within the goal, of the transactions that filter selects, is at most maxLoss below that
 // of the run without the fault.
-func checkServed(t *testing.T, what string, faultFree, sim *simulation, filter func(*simTx) bool, maxLoss float64) {
+func checkServed(t *testing.T, description string, faultFree, sim *simulation, filter func(*simTx) bool, maxLoss float64) {
 	t.Helper()
 	faultFreeCounts, counts := faultFree.countAfterDetection(filter), sim.countAfterDetection(filter)
-	checkAtLeast(t, what+", in goal", counts.fraction(counts.inGoal), faultFreeCounts.fraction(faultFreeCounts.inGoal)-maxLoss)
+	checkAtLeast(t, description+", in goal", counts.fraction(counts.inGoal), faultFreeCounts.fraction(faultFreeCounts.inGoal)-maxLoss)
 }
 
 // hasProfile returns a filter for the transactions of one profile.
@@ -285,7 +285,7 @@
 		}
 	}, func(t *testing.T, faultFree, sim *simulation) {
 		checkServed(t, "all", faultFree, sim, nil, 0.02)
-		checkAtLeast(t, "hops to the host that failed briefly", sim.hopFraction([]logic.HostID{1}, nil), maxAvoidedShareOfEven/8)
+		checkAtLeast(t, "hops to the host that failed briefly", sim.hopFraction([]logic.HostID{1}, nil), avoidedShareOfEven/8)
 	})
 }
 
--- a/logic/harmless_test.go
+++ b/logic/harmless_test.go
@@ -43,14 +43,14 @@
 // randomDeployment returns a random deployment without faults, whose hosts have a utilization of at most a half.
 func randomDeployment(source int, seed uint64) deployment {
 	random := rand.New(rand.NewPCG(seed, uint64(source)))
-	uniform := func(least, most float64) float64 { return least + (most-least)*random.Float64() }
-	logUniform := func(least, most float64) float64 { return least * math.Pow(most/least, random.Float64()) }
+	uniform := func(low, high float64) float64 { return low + (high-low)*random.Float64() }
+	logUniform := func(low, high float64) float64 { return low * math.Pow(high/low, random.Float64()) }
 	sourceCase := harmlessSourceCases[source]
-	d := deployment{sourcesName: sourceCase.name, infoSources: sourceCase.sources, reportedFields: sourceCase.reportedFields, seed: seed,
+	d := deployment{sourcesName: sourceCase.name, sources: sourceCase.sources, reportedFields: sourceCase.reportedFields, seed: seed,
 		zoneCount: 1 + random.IntN(3), coresPerHost: []int{1, 2, 4}[random.IntN(3)], sharesCores: random.IntN(2) == 0,
 		slowKindSpeed: uniform(0.6, 1), targetUtilization: logUniform(0.1, 0.5), lognormalSigma: uniform(0.2, 1.5), waitToWorkRatio: max(0, uniform(-1.5, 5)),
 		workDistribution: []string{"constant", "exponential", "lognormal", "lognormal"}[random.IntN(4)]}
-	d.infoSources.MaxListPollInterval = 10 * time.Second
+	d.sources.MaxListPollInterval = 10 * time.Second
 	d.gatewayCount = int([]float64{logUniform(4, 20), logUniform(21, 100), logUniform(101, 400)}[seed%3])
 	d.hostCount = d.zoneCount * (2 + random.IntN(8/d.zoneCount))
 	d.slotsPerHost = int(math.Ceil(uniform(2, 4) * float64(d.coresPerHost) * (1 + d.waitToWorkRatio)))
@@ -63,10 +63,10 @@
 	d.costModel = []logic.CostModel{{CrossZoneHop: 0.05}, {CrossZoneHop: 0.02, OpenConnections: true}, {RevenueByWork: true}, {MissedGoals: true},
 		{AvailabilityNines: 3, OpenConnections: true}}[random.IntN(5)]
 	d.hopRule = logic.HopRule{MaxHops: 2 + random.IntN(3), CallOff: random.IntN(3) > 0, MaxRetryAfter: time.Second}
-	least, totalFraction, totalWork, profileCount := logUniform(20, 100), 0.0, 0.0, 1+random.IntN(4)
+	baseWorkMs, totalFraction, totalWork, profileCount := logUniform(20, 100), 0.0, 0.0, 1+random.IntN(4)
 	for i := range profileCount {
 		profile := simProfile{trafficFraction: uniform(0.2, 1), minGoalMultiple: logUniform(2, 30)}
-		profile.meanWork = time.Duration(least * math.Pow(10, float64(i)/3) * float64(ms))
+		profile.meanWork = time.Duration(baseWorkMs * math.Pow(10, float64(i)/3) * float64(ms))
 		profile.Profile = logic.Profile{Name: zoneName(i), Revenue: math.Round(logUniform(1, 10)), DedupWindow: time.Second, DedupScope: logic.DedupScope(random.IntN(3)),
 			Effect: logic.Effect(random.IntN(3)), LateRevenueFraction: []float64{0, 0.3}[random.IntN(2)]}
 		totalFraction += profile.trafficFraction
--- a/logic/overload_test.go
+++ b/logic/overload_test.go
@@ -23,7 +23,7 @@
 	bid := simProfile{trafficFraction: 0.7, meanWork: 180 * ms, Profile: logic.Profile{Name: "bid", Effect: logic.Idempotent, ServiceGoal: 720 * ms, Revenue: 1}}
 	bill := simProfile{trafficFraction: 0.3, meanWork: 200 * ms, Profile: logic.Profile{Name: "bill", Effect: logic.NonIdempotent, ServiceGoal: 1200 * ms, Revenue: 4}}
 	sim := newSimulation(deployment{
-		sourcesName: "probes", infoSources: logic.InformationSources{ProbesReportLoad: true}, reportedFields: "inflight queued", gatewayCount: gatewayCount, zoneCount: 1, hostCount: 10, coresPerHost: 3, slotsPerHost: 3,
+		sourcesName: "probes", sources: logic.InformationSources{ProbesReportLoad: true}, reportedFields: "inflight queued", gatewayCount: gatewayCount, zoneCount: 1, hostCount: 10, coresPerHost: 3, slotsPerHost: 3,
 		slowKindSpeed: 0.8, workDistribution: "lognormal", lognormalSigma: 0.4, profiles: []simProfile{bid, bill}, seed: seed, txPerSecond: 75, arrivalDuration: overloadRunDuration,
 		hopRule: logic.HopRule{MaxHops: 4, CallOff: true, MaxRetryAfter: time.Second}}, false)
 	sim.hostsIgnoreCancellation, sim.queueLimit = true, 40
--- a/logic/simulation_test.go
+++ b/logic/simulation_test.go
@@ -14,8 +14,8 @@
 
 // deployment is the configuration of a simulation: gateways and what they learn, hosts, and the transactions.
 type deployment struct {
-	sourcesName       string // describes infoSources in the tests' output
-	infoSources       logic.InformationSources
+	sourcesName       string // describes sources in the tests' output
+	sources           logic.InformationSources
 	reportedFields    string // values in load reports, separated by spaces: inflight, queued, utilization, rate
 	gatewayCount      int
 	zoneCount         int
@@ -177,11 +177,11 @@
 }
 
 // hopSpeed returns the speed at which the host works on its hop with index i.
-func (h *simHost) hopSpeed(i int) float64 {
+func (h *simHost) hopSpeed(workingIndex int) float64 {
 	if h.sharesCores {
 		return h.speed * min(1, float64(h.coresPerHost)/float64(len(h.working)))
 	}
-	return map[bool]float64{true: h.speed}[i < h.coresPerHost]
+	return map[bool]float64{true: h.speed}[workingIndex < h.coresPerHost]
 }
 
 // advance accounts for the work done until now.
@@ -289,7 +289,7 @@
 // sendOutcome sends the outcome of a hop to its gateway, with the host's load if responses report it.
 func (h *simHost) sendOutcome(hop *simHop, outcome logic.HopOutcome) {
 	load := logic.NoLoadReport
-	if h.infoSources.ResponsesReportLoad {
+	if h.sources.ResponsesReportLoad {
 		load = h.loadReport()
 	}
 	h.schedule(hop.gateway.oneWayLatency(h), func() { hop.gateway.hopEnded(hop, outcome, load) })
@@ -412,7 +412,7 @@
 func (sim *simulation) currentList() (hosts []logic.Host) {
 	for _, h := range sim.hosts {
 		entry := h.Host
-		if entry.CapacityHint = h.speed * float64(sim.coresPerHost); sim.infoSources.CapacityHints == logic.LiveCapacity {
+		if entry.CapacityHint = h.speed * float64(sim.coresPerHost); sim.sources.CapacityHints == logic.LiveCapacity {
 			load := logic.LoadReport{InFlight: float64(h.inFlight())}
 			if sim.overrideReport != nil {
 				load = sim.overrideReport(h, load)
@@ -430,7 +430,7 @@
 	if sim.recentLists = append(sim.recentLists, sim.currentList()); len(sim.recentLists) > listDelayIntervals {
 		sim.recentLists = sim.recentLists[1:]
 	}
-	if sim.infoSources.CapacityHints == logic.LiveCapacity {
+	if sim.sources.CapacityHints == logic.LiveCapacity {
 		for _, g := range sim.gateways {
 			if g.listRequested {
 				g.HostListReceived(sim.now, logic.ListChanges, sim.recentLists[0])
@@ -473,7 +473,7 @@
 			continue
 		}
 		g.Core = logic.New(g, sim.now, d.seed<<16+uint64(i), logic.Topology{GatewayCount: d.gatewayCount, GatewayIndex: i, Zone: g.zone, Zones: zones}, profiles,
-			tenants, logic.ColdHostRule{InitialCapacityFraction: 0.2, WarmUpDuration: 10 * time.Second, OverloadMultiple: 3, OverloadDuration: time.Second}, logic.DrainRule{}, d.hopRule, d.infoSources, d.costModel)
+			tenants, logic.ColdHostRule{InitialCapacityFraction: 0.2, WarmUpDuration: 10 * time.Second, OverloadMultiple: 3, OverloadDuration: time.Second}, logic.DrainRule{}, d.hopRule, d.sources, d.costModel)
 		g.HostListReceived(sim.now, logic.ListCached, sim.recentLists[0])
 	}
 	sim.scheduleArrival()
@@ -588,13 +588,15 @@
 }
 
 // fraction returns count as a fraction of the transactions received.
-func (n txCounts) fraction(count int) float64 { return float64(count) / float64(max(1, n.received)) }
+func (counts txCounts) fraction(count int) float64 {
+	return float64(count) / float64(max(1, counts.received))
+}
 
 // breakerOpenings returns the log lines about breakers that opened.
 func (sim *simulation) breakerOpenings() (lines []string) {
-	for _, l := range sim.logLines {
-		if strings.HasSuffix(l, "breaker open true") {
-			lines = append(lines, l)
+	for _, line := range sim.logLines {
+		if strings.HasSuffix(line, "breaker open true") {
+			lines = append(lines, line)
 		}
 	}
 	return lines
