--- a/logic/faultinjection_test.go
+++ b/logic/faultinjection_test.go
@@ -16,7 +16,7 @@
 	faultStart         = 6 * time.Second
 	faultFreeTail      = 2 * time.Second // from the end of the fault to the end of the run
 	maxInGoalLoss      = 0.05            // in the fraction committed within the goal, compared with the run without the fault
-	avoidedShareOfEven = 0.5             // hops to hosts that are to be avoided, relative to an even share
+	avoidedShareOfEven = 0.5             // hosts with less than this multiple of an even share of the hops count as avoided
 )
 
 // faultSourceCases are small and large numbers of gateways with very different information about hosts.
--- a/logic/harmless_test.go
+++ b/logic/harmless_test.go
@@ -20,7 +20,7 @@
 	minTransactions           = 250.0           // in a run, so that a single one is well below a percent
 )
 
-// harmlessSourceCases are the combinations of information sources that the settings allow.
+// harmlessSourceCases are the information sources that gateways may have, as the settings can name them.
 var harmlessSourceCases = []struct {
 	name           string
 	sources        logic.InformationSources
@@ -40,7 +40,8 @@
 	{"peer messages, live capacity hints", logic.InformationSources{PeersShareInFlight: true, CapacityHints: logic.LiveCapacity}, ""},
 }
 
-// randomDeployment returns a random deployment without faults, whose hosts have a utilization of at most a half.
+// randomDeployment returns a random deployment without faults, whose hosts have a utilization between 0.1 and 0.5. The seed and the source
+// case determine it.
 func randomDeployment(source int, seed uint64) deployment {
 	random := rand.New(rand.NewPCG(seed, uint64(source)))
 	uniform := func(low, high float64) float64 { return low + (high-low)*random.Float64() }
