--- a/internal/config/largefleet_test.go
+++ b/internal/config/largefleet_test.go
@@ -61,7 +61,7 @@
 		for i := range largeFleetSize {
 			entry := logic.PeerEntry{Kind: kind, Host: logic.HostID(1 + i<<22), InFlight: i}
 			if kind == logic.EntryHopEnded {
-				entry.Outcome, entry.Latency = logic.HopOutcome(i%int(logic.HopNotSent+1)), time.Duration(i)*time.Millisecond
+				entry.Outcome, entry.Latency = logic.HopOutcome(i%int(logic.HopNotRun+1)), time.Duration(i)*time.Millisecond
 			}
 			sent = append(sent, entry)
 		}
@@ -95,9 +95,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for msg := range instance.EncodePeerMessages([]logic.PeerEntry{{Kind: logic.EntryHopEnded, Host: 7, InFlight: 5000, Outcome: logic.HopNotSent}}) {
+	for msg := range instance.EncodePeerMessages([]logic.PeerEntry{{Kind: logic.EntryHopEnded, Host: 7, InFlight: 5000, Outcome: logic.HopNotRun}}) {
 		entries, err := instance.DecodePeerMessage(msg)
-		if err != nil || len(entries) != 1 || entries[0].InFlight != 1023 || entries[0].Outcome != logic.HopNotSent || entries[0].Kind != logic.EntryHopEnded {
+		if err != nil || len(entries) != 1 || entries[0].InFlight != 1023 || entries[0].Outcome != logic.HopNotRun || entries[0].Kind != logic.EntryHopEnded {
 			t.Errorf("decoded as %+v, %v", entries, err)
 		}
 	}
@@ -110,7 +110,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for msg := range instance.EncodePeerMessages([]logic.PeerEntry{{Kind: logic.EntryHopEnded, Host: 0x04030201, InFlight: 255, Outcome: logic.HopNotSent, Latency: time.Second}}) {
+	for msg := range instance.EncodePeerMessages([]logic.PeerEntry{{Kind: logic.EntryHopEnded, Host: 0x04030201, InFlight: 255, Outcome: logic.HopNotRun, Latency: time.Second}}) {
 		if text := fmt.Sprintf("%x", msg); text[:12] != "01020304ff27" || text[16:] != "1027" {
 			t.Errorf("encoded as %s", text)
 		}
--- a/internal/config/peermessage.go
+++ b/internal/config/peermessage.go
@@ -66,7 +66,7 @@
 		entry := logic.PeerEntry{Host: logic.HostID(binary.LittleEndian.Uint32(msg)), InFlight: int(msg[5]>>7)<<9 | int(msg[5]>>3&1)<<8 | int(msg[4]),
 			Kind: logic.PeerEntryKind(msg[5] >> 4 & 7), Outcome: logic.HopOutcome(msg[5] & 7),
 			Latency: time.Duration(binary.LittleEndian.Uint16(msg[8:])) * latencyUnit}
-		if entry.Kind > logic.EntryPickResponse || entry.Outcome > logic.HopNotSent {
+		if entry.Kind > logic.EntryPickResponse || entry.Outcome > logic.HopNotRun {
 			return nil, fmt.Errorf("unknown kind %d or outcome %d", entry.Kind, entry.Outcome)
 		}
 		if entry.Kind != logic.EntryInFlight {
--- a/internal/routing/counters.go
+++ b/internal/routing/counters.go
@@ -39,7 +39,7 @@
 	HandedOver, Adopted counter
 	// Configuration files applied and rejected.
 	SettingsApplied, SettingsRejected counter
-	HopOutcomes                       [logic.HopNotSent + 1]counter
+	HopOutcomes                       [logic.HopNotRun + 1]counter
 	Probes, ProbesAnswered            counter
 
 	// Calls for the host list.
@@ -151,7 +151,7 @@
 		{"hops_committed", &counters.HopOutcomes[logic.HopCommitted]}, {"hops_error", &counters.HopOutcomes[logic.HopError]},
 		{"hops_full", &counters.HopOutcomes[logic.HopHostFull]}, {"hops_timed_out", &counters.HopOutcomes[logic.HopTimedOut]},
 		{"hops_no_connection", &counters.HopOutcomes[logic.HopNoConnection]}, {"hops_broken", &counters.HopOutcomes[logic.HopConnectionBroken]},
-		{"hops_called_off", &counters.HopOutcomes[logic.HopCalledOff]}, {"hops_declined", &counters.HopOutcomes[logic.HopNotSent]},
+		{"hops_called_off", &counters.HopOutcomes[logic.HopCalledOff]}, {"hops_declined", &counters.HopOutcomes[logic.HopNotRun]},
 		{"probes", &counters.Probes}, {"probes_answered", &counters.ProbesAnswered},
 		{"lists", &counters.ListCalls}, {"lists_lost", &counters.ListCallsFailed}, {"lists_again", &counters.ListCallsRetried},
 		{"lists_older", &counters.ListsStale}, {"tells", &counters.PeerMessages}, {"tells_unsent", &counters.PeerMessagesUnsent},
--- a/internal/routing/relay.go
+++ b/internal/routing/relay.go
@@ -26,7 +26,7 @@
 	case h.response.Status == 200 && h.fullyWritten: // otherwise it belongs to another request: hosts start work with the last byte
 		return logic.HopCommitted
 	case h.response.Declined:
-		return logic.HopNotSent
+		return logic.HopNotRun
 	case h.response.NeverRan || !h.fullyWritten: // a host starts work with the last byte
 		return logic.HopHostFull
 	}
@@ -64,7 +64,7 @@
 		d.closeIdleIfGone(h.target)
 		d.Counters.HopOutcomes[outcome].Add(1)
 		switch {
-		case t.answered || outcome != logic.HopCommitted && outcome != logic.HopNotSent:
+		case t.answered || outcome != logic.HopCommitted && outcome != logic.HopNotRun:
 		case outcome == logic.HopCommitted:
 			d.respond(t, &d.Counters.Committed, 200, h.response.EncodeForClient)
 		default:
@@ -150,7 +150,7 @@
 		h.streamed, bodyReceived = true, t.request.RemainingBody == nil || t.bodyReceived
 		outcome, counter := logic.HopCommitted, &d.Counters.Committed
 		if response.Declined {
-			outcome, counter = logic.HopNotSent, &d.Counters.Declined
+			outcome, counter = logic.HopNotRun, &d.Counters.Declined
 		}
 		t.hopsInFlight--
 		d.markAnswered(t)
--- a/internal/routing/send.go
+++ b/internal/routing/send.go
@@ -76,7 +76,7 @@
 func (d *Dispatcher) endUnsentHop(h *hop) {
 	d.callCore(func(now time.Duration) {
 		h.tx.hopsInFlight--
-		d.core.HopEnded(now, h.tx.id, h.index, logic.HopResult{Outcome: logic.HopNotSent, Load: logic.NoLoadReport}, h.tx.answered)
+		d.core.HopEnded(now, h.tx.id, h.index, logic.HopResult{Outcome: logic.HopNotRun, Load: logic.NoLoadReport}, h.tx.answered)
 		d.removeIfFinished(h.tx)
 	})
 }
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -157,7 +157,7 @@
 // outcomesByName has the protocol's names of hop outcomes.
 var outcomesByName = map[string]logic.HopOutcome{
 	"pass": logic.HopCommitted, "fault": logic.HopError, "no_room": logic.HopHostFull, "too_slow": logic.HopTimedOut,
-	"no_route": logic.HopNoConnection, "cut": logic.HopConnectionBroken, "undone": logic.HopCalledOff, "stale_send": logic.HopNotSent,
+	"no_route": logic.HopNoConnection, "cut": logic.HopConnectionBroken, "undone": logic.HopCalledOff, "stale_send": logic.HopNotRun,
 }
 
 func (p *lineParser) nextOutcome() logic.HopOutcome {
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -417,7 +417,7 @@
 	b.recordLoadReport(h, result.Load)
 	slowdown, serviceTime, took := h.slowdown(hostInFlight), &b.serviceTime[profile], float64(result.Latency)
 	late, failed := result.Outcome == HopTimedOut || result.Outcome == HopCalledOff,
-		result.Outcome != HopCommitted && result.Outcome != HopNotSent
+		result.Outcome != HopCommitted && result.Outcome != HopNotRun
 	overdue := took > overdueServiceTimeMultiple*min(serviceTime.value, b.minServiceTime[profile])*slowdown
 	// Under congestion hops time out everywhere: only one far over the usual time suggests that the host hangs.
 	failed = ternary(late,
--- a/logic/types.go
+++ b/logic/types.go
@@ -231,12 +231,12 @@
 	HopNoConnection                // no connection to the host, so nothing was sent
 	HopConnectionBroken            // the connection failed after the hop was sent
 	HopCalledOff
-	HopNotSent // not sent, or declined in a way that says nothing about the host
+	HopNotRun // not sent, or declined in a way that says nothing about the host
 )
 
 // NeverRan reports whether the outcome proves that the hop had no effect.
 func (e HopOutcome) NeverRan() bool {
-	return e == HopHostFull || e == HopNoConnection || e == HopNotSent
+	return e == HopHostFull || e == HopNoConnection || e == HopNotRun
 }
 
 // LoadReport is the load that a host reports of itself. Negative values were not reported.
