--- a/logic/coldfleet_test.go
+++ b/logic/coldfleet_test.go
@@ -11,392 +11,405 @@
 	"spanmux/logic"
 )
 
-// fleet plays gateways, each with a module of its own, against hosts that count what they are sent while cold, in virtual time.
-type fleet struct {
-	now      time.Duration
-	due      events
-	order    int
-	gateways []*player
-	hosts    []*counting
-	shape    shape
-	chance   *rand.Rand
-	rule     logic.ColdHostRule
-	over     string // the first window over what is allowed
-	worst    float64
-	sent     int // to cold hosts
-	deaf     bool
+// fleetSimulation runs gateways, each with its own Balancer, in virtual time against hosts that count the hops that they
+// receive while cold.
+type fleetSimulation struct {
+	now              time.Duration
+	queue            fleetEventQueue
+	lastSeq          int
+	gateways         []*fleetGateway
+	hosts            []*countingHost
+	scenario         fleetScenario
+	random           *rand.Rand
+	coldRule         logic.ColdHostRule
+	firstViolation   string  // the first window with more hops than the limit
+	maxLimitRatio    float64 // highest number of hops within a window, relative to the limit
+	coldHops         int     // to cold hosts, over the whole run
+	dropPeerMessages bool
 }
 
-type shape struct {
-	name     string
-	gateways int
-	told     int // how many the settings say there are; as many as there are where it is 0
-	from     logic.InformationSources
-	deaf     bool          // no gateway hears another from the restart on
-	places   int           // of a host
-	work     time.Duration // of a hop
-	rule     logic.ColdHostRule
-	load     float64 // what comes, of what the hosts can do warm
-	hosts    int     // a third of them start again
-	hangs    int     // hosts that answer nothing from then on
+// fleetScenario is what one run is made of: the gateways and what they learn (coldSourceCases), the hosts and their load
+// (coldHostCases).
+type fleetScenario struct {
+	name               string
+	gatewayCount       int
+	configuredGateways int // gateway count in the configuration, gatewayCount if 0
+	sources            logic.InformationSources
+	dropPeerMessages   bool          // from the restart on, peer messages are lost
+	slotsPerHost       int           // hops that a host works on at once
+	hopTime            time.Duration // at a warm host
+	coldRule           logic.ColdHostRule
+	offeredLoad        float64 // as a fraction of the capacity of all hosts when warm
+	hostCount          int     // a third of them restart
+	hangingHosts       int     // hosts that stop answering at the restart
 }
 
-type event struct {
-	at    time.Duration
-	order int
-	do    func()
+// fleetEvent is an action at a point in virtual time. Events at the same time run in the order of seq.
+type fleetEvent struct {
+	at     time.Duration
+	seq    int
+	action func()
 }
 
-type events []event
+type fleetEventQueue []fleetEvent
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
-	return cmp.Or(cmp.Compare(e[i].at, e[j].at), cmp.Compare(e[i].order, e[j].order)) < 0
+func (e fleetEventQueue) Len() int { return len(e) }
+func (e fleetEventQueue) Less(i, j int) bool {
+	return cmp.Or(cmp.Compare(e[i].at, e[j].at), cmp.Compare(e[i].seq, e[j].seq)) < 0
 }
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
-func (e *events) Pop() any {
+func (e fleetEventQueue) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e *fleetEventQueue) Push(x any)   { *e = append(*e, x.(fleetEvent)) }
+func (e *fleetEventQueue) Pop() any {
 	last := (*e)[len(*e)-1]
 	*e = (*e)[:len(*e)-1]
 	return last
 }
 
-func (f *fleet) in(d time.Duration, do func()) {
-	f.order++
-	heap.Push(&f.due, event{f.now + d, f.order, do})
+func (f *fleetSimulation) schedule(delay time.Duration, action func()) {
+	f.lastSeq++
+	heap.Push(&f.queue, fleetEvent{f.now + delay, f.lastSeq, action})
 }
 
-func (f *fleet) run(until time.Duration) {
-	for len(f.due) > 0 && f.due[0].at <= until {
-		e := heap.Pop(&f.due).(event)
+func (f *fleetSimulation) runUntil(end time.Duration) {
+	for len(f.queue) > 0 && f.queue[0].at <= end {
+		e := heap.Pop(&f.queue).(fleetEvent)
 		f.now = e.at
-		e.do()
+		e.action()
 	}
-	f.now = until
+	f.now = end
 }
 
-// counting is a host with some places, slower while cold, that counts what it is sent then.
-type counting struct {
+// countingHost is a host with a number of slots. While cold it is slower and counts the hops that it receives.
+type countingHost struct {
 	logic.Host
-	f       *fleet
-	free    []time.Duration // when each place is
-	held    int
-	waiting int
-	sent    []time.Duration
-	hangs   bool
+	fleet        *fleetSimulation
+	slotFreeAt   []time.Duration // when each slot is free again
+	inFlight     int
+	queued       int
+	coldHopTimes []time.Duration // arrivals of the hops in the current window, while cold
+	hangs        bool            // never answers
 }
 
-// warm is the share of its capacity that a host has now.
-func (c *counting) warm() float64 {
-	if c.StartedAt == 0 {
+// capacityFraction returns the fraction of its full capacity that the host has now.
+func (h *countingHost) capacityFraction() float64 {
+	if h.StartedAt == 0 {
 		return 1
 	}
-	r := c.f.rule
-	return min(1, r.InitialCapacityFraction+(1-r.InitialCapacityFraction)*float64(c.f.now-c.StartedAt)/float64(r.WarmUpDuration))
+	rule := h.fleet.coldRule
+	return min(1, rule.InitialCapacityFraction+(1-rule.InitialCapacityFraction)*float64(h.fleet.now-h.StartedAt)/float64(rule.WarmUpDuration))
 }
 
-// allowed is what all may send a host within a window that ends now: the settings' multiple of what it can do in that time, and chance.
-func (c *counting) allowed() (budget, most float64) {
-	r := c.f.rule
-	budget = r.OverloadMultiple * c.warm() * float64(c.f.shape.places) * float64(r.OverloadDuration) / float64(c.f.shape.work)
+// hopLimit bounds the hops of all gateways to the host within the OverloadDuration that ends now. The budget is
+// OverloadMultiple times what the host can serve in that time; the limit adds an allowance for chance.
+func (h *countingHost) hopLimit() (budget, limit float64) {
+	rule := h.fleet.coldRule
+	budget = rule.OverloadMultiple * h.capacityFraction() * float64(h.fleet.scenario.slotsPerHost) * float64(rule.OverloadDuration) / float64(h.fleet.scenario.hopTime)
 	return budget, budget + 2*math.Sqrt(budget) + 2
 }
 
-func (c *counting) takes(done func(took time.Duration, l logic.LoadReport)) {
-	f, came := c.f, c.f.now
-	if c.StartedAt > 0 && f.now-c.StartedAt < f.rule.WarmUpDuration {
-		f.sent++
-		c.sent = append(c.sent, f.now)
-		for c.sent[0] <= f.now-f.rule.OverloadDuration {
-			c.sent = c.sent[1:]
+// receiveHop counts a hop that arrives while the host is cold, and calls done when the hop has been served.
+func (h *countingHost) receiveHop(done func(latency time.Duration, load logic.LoadReport)) {
+	f, receivedAt := h.fleet, h.fleet.now
+	if h.StartedAt > 0 && f.now-h.StartedAt < f.coldRule.WarmUpDuration {
+		f.coldHops++
+		h.coldHopTimes = append(h.coldHopTimes, f.now)
+		for h.coldHopTimes[0] <= f.now-f.coldRule.OverloadDuration {
+			h.coldHopTimes = h.coldHopTimes[1:]
 		}
-		budget, most := c.allowed()
-		f.worst = max(f.worst, float64(len(c.sent))/most)
-		if f.over == "" && float64(len(c.sent)) > most {
-			f.over = fmt.Sprintf("%d in a window at an age of %v, where %.1f are allowed and %.1f with chance", len(c.sent),
-				(f.now - c.StartedAt).Round(10*ms), budget, most)
+		budget, limit := h.hopLimit()
+		f.maxLimitRatio = max(f.maxLimitRatio, float64(len(h.coldHopTimes))/limit)
+		if f.firstViolation == "" && float64(len(h.coldHopTimes)) > limit {
+			f.firstViolation = fmt.Sprintf("%d hops in a window at host age %v: budget %.1f, limit with chance %.1f", len(h.coldHopTimes),
+				(f.now - h.StartedAt).Round(10*ms), budget, limit)
 		}
 	}
-	if c.hangs {
+	if h.hangs {
 		return
 	}
-	first := 0
-	for i := range c.free {
-		if c.free[i] < c.free[first] {
-			first = i
+	firstFree := 0
+	for i := range h.slotFreeAt {
+		if h.slotFreeAt[i] < h.slotFreeAt[firstFree] {
+			firstFree = i
 		}
 	}
-	start := max(f.now, c.free[first])
-	c.free[first] = start + time.Duration(float64(f.shape.work)/c.warm())
-	c.held++
-	if start > f.now {
-		c.waiting++
-		f.in(start-f.now, func() { c.waiting-- })
+	startAt := max(f.now, h.slotFreeAt[firstFree])
+	h.slotFreeAt[firstFree] = startAt + time.Duration(float64(f.scenario.hopTime)/h.capacityFraction())
+	h.inFlight++
+	if startAt > f.now {
+		h.queued++
+		f.schedule(startAt-f.now, func() { h.queued-- })
 	}
-	f.in(c.free[first]-f.now, func() {
-		c.held--
-		done(f.now-came, c.load())
+	f.schedule(h.slotFreeAt[firstFree]-f.now, func() {
+		h.inFlight--
+		done(f.now-receivedAt, h.loadReport())
 	})
 }
 
-func (c *counting) load() logic.LoadReport {
-	l := logic.NoLoadReport
-	if from := c.f.shape.from; from.ResponsesReportInFlight || from.ResponsesReportLoad || from.ProbesReportLoad {
-		l.InFlight, l.Queued = float64(c.held), float64(c.waiting)
+// loadReport returns the load with the values that hosts of the scenario report.
+func (h *countingHost) loadReport() logic.LoadReport {
+	load := logic.NoLoadReport
+	if sources := h.fleet.scenario.sources; sources.ResponsesReportInFlight || sources.ResponsesReportLoad || sources.ProbesReportLoad {
+		load.InFlight, load.Queued = float64(h.inFlight), float64(h.queued)
 	}
-	if c.f.shape.from.ResponsesReportInFlight {
-		l.Utilization = min(1, float64(c.held)/float64(c.f.shape.places))
+	if h.fleet.scenario.sources.ResponsesReportInFlight {
+		load.Utilization = min(1, float64(h.inFlight)/float64(h.fleet.scenario.slotsPerHost))
 	}
-	return l
+	return load
 }
 
-// player is a gateway: it does what its module wants done.
-type player struct {
+// fleetGateway is a gateway: the Executor of its Balancer.
+type fleetGateway struct {
 	*logic.Balancer
-	f     *fleet
-	me    int
-	life  int // counts its processes
-	timer int
-	last  logic.TxID
-	txs   map[logic.TxID]*playerTx
-	asked bool
+	fleet        *fleetSimulation
+	index        int
+	processCount int // processes started so far; what was scheduled for an earlier one is dropped
+	timerCount   int // timers set so far; only the last one fires
+	lastTx       logic.TxID
+	txs          map[logic.TxID]*fleetTx
+	listReceived bool
 }
 
-type playerTx struct {
-	over bool
-	hops []bool // ended
+// fleetTx is a transaction of a fleetGateway.
+type fleetTx struct {
+	answered bool
+	hopEnded []bool // by hop index
 }
 
-func (p *player) SendHop(id logic.TxID, to logic.HostID, wait time.Duration) {
-	f, t, life, began := p.f, p.txs[id], p.life, p.f.now
-	i := len(t.hops)
-	t.hops = append(t.hops, false)
-	f.in(ms, func() {
-		f.hosts[to-1].takes(func(took time.Duration, l logic.LoadReport) {
-			f.in(ms, func() {
-				p.ended(life, id, i, logic.HopResult{Outcome: logic.HopCommitted, Latency: f.now - began, Load: l})
+func (g *fleetGateway) SendHop(id logic.TxID, host logic.HostID, timeout time.Duration) {
+	f, tx, process, sentAt := g.fleet, g.txs[id], g.processCount, g.fleet.now
+	hopIndex := len(tx.hopEnded)
+	tx.hopEnded = append(tx.hopEnded, false)
+	f.schedule(ms, func() {
+		f.hosts[host-1].receiveHop(func(latency time.Duration, load logic.LoadReport) {
+			f.schedule(ms, func() {
+				g.endHop(process, id, hopIndex, logic.HopResult{Outcome: logic.HopCommitted, Latency: f.now - sentAt, Load: load})
 			})
 		})
 	})
-	f.in(wait, func() {
-		p.ended(life, id, i, logic.HopResult{Outcome: logic.HopTimedOut, Latency: wait, Load: logic.NoLoadReport})
+	f.schedule(timeout, func() {
+		g.endHop(process, id, hopIndex, logic.HopResult{Outcome: logic.HopTimedOut, Latency: timeout, Load: logic.NoLoadReport})
 	})
 }
 
-func (p *player) ended(life int, id logic.TxID, i int, r logic.HopResult) {
-	t := p.txs[id]
-	if p.life != life || t.hops[i] {
+// endHop reports the outcome of a hop, unless it has ended already or its process has been replaced.
+func (g *fleetGateway) endHop(process int, id logic.TxID, hopIndex int, result logic.HopResult) {
+	tx := g.txs[id]
+	if g.processCount != process || tx.hopEnded[hopIndex] {
 		return
 	}
-	t.hops[i] = true
-	t.over = t.over || r.Outcome == logic.HopCommitted
-	p.HopEnded(p.f.now, id, i, r, t.over)
+	tx.hopEnded[hopIndex] = true
+	tx.answered = tx.answered || result.Outcome == logic.HopCommitted
+	g.HopEnded(g.fleet.now, id, hopIndex, result, tx.answered)
 }
 
-func (p *player) CallOff(id logic.TxID, hop int) {
-	life := p.life
-	p.f.in(0, func() {
-		p.ended(life, id, hop, logic.HopResult{Outcome: logic.HopCalledOff, Latency: p.f.shape.work, Load: logic.NoLoadReport})
+func (g *fleetGateway) CallOff(id logic.TxID, hopIndex int) {
+	process := g.processCount
+	g.fleet.schedule(0, func() {
+		g.endHop(process, id, hopIndex, logic.HopResult{Outcome: logic.HopCalledOff, Latency: g.fleet.scenario.hopTime, Load: logic.NoLoadReport})
 	})
 }
-func (p *player) RollBack(id logic.TxID, after time.Duration) { p.txs[id].over = true }
-func (p *player) Abandon(id logic.TxID)                       { p.txs[id].over = true }
-func (p *player) CloseIdleConnections(id logic.HostID)        {}
-func (p *player) Log(line string)                             {}
-func (p *player) Probe(id logic.HostID) {
-	f, life := p.f, p.life
-	f.in(2*ms, func() {
-		if p.life == life {
-			p.ProbeEnded(f.now, id, f.hosts[id-1].load())
+func (g *fleetGateway) RollBack(id logic.TxID, retryAfter time.Duration) { g.txs[id].answered = true }
+func (g *fleetGateway) Abandon(id logic.TxID)                            { g.txs[id].answered = true }
+func (g *fleetGateway) CloseIdleConnections(id logic.HostID)             {}
+func (g *fleetGateway) Log(line string)                                  {}
+func (g *fleetGateway) Probe(id logic.HostID) {
+	f, process := g.fleet, g.processCount
+	f.schedule(2*ms, func() {
+		if g.processCount == process {
+			g.ProbeEnded(f.now, id, f.hosts[id-1].loadReport())
 		}
 	})
 }
-func (p *player) SendPeerMessage(to int, held []logic.PeerEntry) {
-	if p.f.deaf {
+func (g *fleetGateway) SendPeerMessage(to int, entries []logic.PeerEntry) {
+	if g.fleet.dropPeerMessages {
 		return
 	}
-	f, copied := p.f, append([]logic.PeerEntry{}, held...)
-	f.in(2*ms, func() {
-		for i, q := range f.gateways {
-			if q != p && (to == i || to < 0) {
-				q.PeerMessageReceived(f.now, p.me, copied)
+	f, entriesCopy := g.fleet, append([]logic.PeerEntry{}, entries...)
+	f.schedule(2*ms, func() {
+		for i, other := range f.gateways {
+			if other != g && (to == i || to < 0) {
+				other.PeerMessageReceived(f.now, g.index, entriesCopy)
 			}
 		}
 	})
 }
-func (p *player) RequestHostList() {
-	f, life := p.f, p.life
-	f.in(5*ms, func() {
-		if p.life == life {
-			p.asked = true
-			p.HostListReceived(f.now, logic.ListComplete, f.list())
+func (g *fleetGateway) RequestHostList() {
+	f, process := g.fleet, g.processCount
+	f.schedule(5*ms, func() {
+		if g.processCount == process {
+			g.listReceived = true
+			g.HostListReceived(f.now, logic.ListComplete, f.currentList())
 		}
 	})
 }
-func (p *player) SetTimer(in time.Duration) {
-	p.timer++
-	life, timer := p.life, p.timer
-	p.f.in(in, func() {
-		if p.life == life && p.timer == timer {
-			p.TimerFired(p.f.now)
+func (g *fleetGateway) SetTimer(delay time.Duration) {
+	g.timerCount++
+	process, timer := g.processCount, g.timerCount
+	g.fleet.schedule(delay, func() {
+		if g.processCount == process && g.timerCount == timer {
+			g.TimerFired(g.fleet.now)
 		}
 	})
 }
 
-func (f *fleet) list() (all []logic.Host) {
-	for _, c := range f.hosts {
-		h := c.Host
-		if f.shape.from.CapacityHints == logic.LiveCapacity {
-			h.CapacityHint = 1 / (1 + float64(c.held)/float64(f.shape.places))
+// currentList returns the host list as of now.
+func (f *fleetSimulation) currentList() (hosts []logic.Host) {
+	for _, host := range f.hosts {
+		entry := host.Host
+		if f.scenario.sources.CapacityHints == logic.LiveCapacity {
+			entry.CapacityHint = 1 / (1 + float64(host.inFlight)/float64(f.scenario.slotsPerHost))
 		}
-		all = append(all, h)
+		hosts = append(hosts, entry)
 	}
-	return all
+	return hosts
 }
 
-// start begins a process of a gateway; one that was there before is gone with all that it knew.
-func (p *player) start() {
-	f := p.f
-	p.life++
-	p.txs, p.asked = map[logic.TxID]*playerTx{}, false
-	profile := logic.Profile{Name: "read", Effect: logic.Idempotent, ServiceGoal: 20 * f.shape.work, Revenue: 1}
-	p.Balancer = logic.New(p, f.now, uint64(1000*p.life+p.me), logic.Topology{GatewayCount: cmp.Or(f.shape.told, f.shape.gateways), GatewayIndex: p.me, Zone: "a",
-		Zones: []string{"a"}}, []logic.Profile{profile}, nil, f.rule, logic.DrainRule{},
-		logic.HopRule{MaxHops: 2, CallOff: true, MaxRetryAfter: time.Second}, f.shape.from, logic.CostModel{})
-	p.HostListReceived(f.now, logic.ListComplete, f.list())
+// startProcess starts a new process of the gateway. What the previous one knew is lost.
+func (g *fleetGateway) startProcess() {
+	f := g.fleet
+	g.processCount++
+	g.txs, g.listReceived = map[logic.TxID]*fleetTx{}, false
+	profile := logic.Profile{Name: "read", Effect: logic.Idempotent, ServiceGoal: 20 * f.scenario.hopTime, Revenue: 1}
+	g.Balancer = logic.New(g, f.now, uint64(1000*g.processCount+g.index), logic.Topology{GatewayCount: cmp.Or(f.scenario.configuredGateways, f.scenario.gatewayCount), GatewayIndex: g.index, Zone: "a",
+		Zones: []string{"a"}}, []logic.Profile{profile}, nil, f.coldRule, logic.DrainRule{},
+		logic.HopRule{MaxHops: 2, CallOff: true, MaxRetryAfter: time.Second}, f.scenario.sources, logic.CostModel{})
+	g.HostListReceived(f.now, logic.ListComplete, f.currentList())
 }
 
-// comes has transactions come to a gateway by chance, so many a second.
-func (p *player) comes(rate float64) {
-	f := p.f
-	f.in(time.Duration(f.chance.ExpFloat64()/rate*float64(time.Second)), func() {
-		p.last++
-		p.txs[p.last] = &playerTx{}
-		p.TransactionReceived(f.now, p.last, logic.Arrival{TenantIndex: -1, Budget: 40 * f.shape.work})
-		p.comes(rate)
+// scheduleArrival makes transactions arrive at the gateway as a Poisson process.
+func (g *fleetGateway) scheduleArrival(perSecond float64) {
+	f := g.fleet
+	f.schedule(time.Duration(f.random.ExpFloat64()/perSecond*float64(time.Second)), func() {
+		g.lastTx++
+		g.txs[g.lastTx] = &fleetTx{}
+		g.TransactionReceived(f.now, g.lastTx, logic.Arrival{TenantIndex: -1, Budget: 40 * f.scenario.hopTime})
+		g.scheduleArrival(perSecond)
 	})
 }
 
-// play has a third of the hosts start again while half of the gateways do.
-func play(s shape, seed uint64) *fleet {
-	hosts := s.hosts
-	f := &fleet{now: time.Hour, shape: s, chance: rand.New(rand.NewPCG(seed, 7)),
-		rule: s.rule}
-	for i := range hosts {
-		f.hosts = append(f.hosts, &counting{Host: logic.Host{ID: logic.HostID(i + 1), Zone: "a", Kind: "box", State: logic.HostReady, CapacityHint: 1}, f: f,
-			free: make([]time.Duration, s.places)})
+// runRestart runs a scenario in which a third of the hosts and half of the gateways restart after 12 seconds.
+func runRestart(scenario fleetScenario, seed uint64) *fleetSimulation {
+	hostCount := scenario.hostCount
+	f := &fleetSimulation{now: time.Hour, scenario: scenario, random: rand.New(rand.NewPCG(seed, 7)),
+		coldRule: scenario.coldRule}
+	for i := range hostCount {
+		f.hosts = append(f.hosts, &countingHost{Host: logic.Host{ID: logic.HostID(i + 1), Zone: "a", Kind: "box", State: logic.HostReady, CapacityHint: 1}, fleet: f,
+			slotFreeAt: make([]time.Duration, scenario.slotsPerHost)})
 	}
-	all := s.load * float64(hosts*s.places) * float64(time.Second) / float64(s.work) // of what the hosts can do
-	weights := 0.0
-	for i := range s.gateways {
-		weights += 1 / float64(1+i%5)
+	totalRate := scenario.offeredLoad * float64(hostCount*scenario.slotsPerHost) * float64(time.Second) / float64(scenario.hopTime) // per second
+	totalWeight := 0.0
+	for i := range scenario.gatewayCount {
+		totalWeight += 1 / float64(1+i%5)
 	}
-	for i := range s.gateways { // some get five times as much as others
-		p := &player{f: f, me: i}
-		f.gateways = append(f.gateways, p)
-		p.start()
-		p.comes(all / float64(1+i%5) / weights)
+	for i := range scenario.gatewayCount { // arrival rates differ by up to a factor of five
+		gateway := &fleetGateway{fleet: f, index: i}
+		f.gateways = append(f.gateways, gateway)
+		gateway.startProcess()
+		gateway.scheduleArrival(totalRate / float64(1+i%5) / totalWeight)
 	}
-	news := func() {
-		for _, p := range f.gateways {
-			f.in(time.Duration(f.chance.IntN(200))*ms, func() { p.HostListReceived(f.now, logic.ListComplete, f.list()) })
+	sendLists := func() {
+		for _, gateway := range f.gateways {
+			f.schedule(time.Duration(f.random.IntN(200))*ms, func() { gateway.HostListReceived(f.now, logic.ListComplete, f.currentList()) })
 		}
 	}
 	for second := range 26 {
-		f.in(time.Duration(second)*time.Second, func() {
-			if s.from.CapacityHints == logic.LiveCapacity {
-				news()
+		f.schedule(time.Duration(second)*time.Second, func() {
+			if scenario.sources.CapacityHints == logic.LiveCapacity {
+				sendLists()
 			}
 		})
 	}
-	f.run(f.now + 12*time.Second)
-	for _, c := range f.hosts[:hosts/3] {
-		c.StartedAt = f.now
+	f.runUntil(f.now + 12*time.Second)
+	for _, host := range f.hosts[:hostCount/3] {
+		host.StartedAt = f.now
 	}
-	f.deaf = s.deaf
-	for _, c := range f.hosts[hosts-s.hangs:] {
-		c.hangs = true
+	f.dropPeerMessages = scenario.dropPeerMessages
+	for _, host := range f.hosts[hostCount-scenario.hangingHosts:] {
+		host.hangs = true
 	}
-	news()
-	for i, p := range f.gateways {
+	sendLists()
+	for i, gateway := range f.gateways {
 		if i%2 == 0 {
-			f.in(time.Duration(300+f.chance.IntN(1500))*ms, p.start)
+			f.schedule(time.Duration(300+f.random.IntN(1500))*ms, gateway.startProcess)
 		}
 	}
-	f.run(f.now + 9*time.Second)
+	f.runUntil(f.now + 9*time.Second)
 	return f
 }
 
-var coldShapes = []shape{
-	{name: "telling", gateways: 30, from: logic.InformationSources{PeersShareInFlight: true, ProbesReportLoad: true, MaxListPollInterval: 10 * time.Second}},
-	{name: "telling, held said in answers", gateways: 30, from: logic.InformationSources{PeersShareInFlight: true, ResponsesReportInFlight: true, ResponsesReportLoad: true, MaxListPollInterval: 10 * time.Second}},
-	{name: "telling, unheard", gateways: 30, deaf: true, from: logic.InformationSources{PeersShareInFlight: true, ProbesReportLoad: true, MaxListPollInterval: 10 * time.Second}},
-	{name: "held said in answers", gateways: 30, from: logic.InformationSources{ResponsesReportInFlight: true, ResponsesReportLoad: true, MaxListPollInterval: 10 * time.Second}},
-	{name: "probed", gateways: 30, from: logic.InformationSources{ProbesReportLoad: true, MaxListPollInterval: 10 * time.Second}},
-	{name: "blind", gateways: 30, from: logic.InformationSources{MaxListPollInterval: 10 * time.Second}},
-	{name: "live sizes", gateways: 30, from: logic.InformationSources{CapacityHints: logic.LiveCapacity, MaxListPollInterval: 10 * time.Second}},
-	{name: "few, telling", gateways: 6, from: logic.InformationSources{PeersShareInFlight: true, ProbesReportLoad: true, MaxListPollInterval: 10 * time.Second}},
-	{name: "few, blind", gateways: 6, from: logic.InformationSources{MaxListPollInterval: 10 * time.Second}},
-	{name: "twenty, blind", gateways: 20, from: logic.InformationSources{MaxListPollInterval: 10 * time.Second}},
+// coldSourceCases are the sources of information that gateways may have. The first six have thirty gateways.
+var coldSourceCases = []fleetScenario{
+	{name: "peer messages", gatewayCount: 30, sources: logic.InformationSources{PeersShareInFlight: true, ProbesReportLoad: true, MaxListPollInterval: 10 * time.Second}},
+	{name: "peer messages, in-flight count in responses", gatewayCount: 30, sources: logic.InformationSources{PeersShareInFlight: true, ResponsesReportInFlight: true, ResponsesReportLoad: true, MaxListPollInterval: 10 * time.Second}},
+	{name: "peer messages, all lost", gatewayCount: 30, dropPeerMessages: true, sources: logic.InformationSources{PeersShareInFlight: true, ProbesReportLoad: true, MaxListPollInterval: 10 * time.Second}},
+	{name: "in-flight count in responses", gatewayCount: 30, sources: logic.InformationSources{ResponsesReportInFlight: true, ResponsesReportLoad: true, MaxListPollInterval: 10 * time.Second}},
+	{name: "probes", gatewayCount: 30, sources: logic.InformationSources{ProbesReportLoad: true, MaxListPollInterval: 10 * time.Second}},
+	{name: "no load information", gatewayCount: 30, sources: logic.InformationSources{MaxListPollInterval: 10 * time.Second}},
+	{name: "live capacity hints", gatewayCount: 30, sources: logic.InformationSources{CapacityHints: logic.LiveCapacity, MaxListPollInterval: 10 * time.Second}},
+	{name: "six gateways, peer messages", gatewayCount: 6, sources: logic.InformationSources{PeersShareInFlight: true, ProbesReportLoad: true, MaxListPollInterval: 10 * time.Second}},
+	{name: "six gateways, no load information", gatewayCount: 6, sources: logic.InformationSources{MaxListPollInterval: 10 * time.Second}},
+	{name: "twenty gateways, no load information", gatewayCount: 20, sources: logic.InformationSources{MaxListPollInterval: 10 * time.Second}},
 }
 
 var (
-	usualCold = logic.ColdHostRule{InitialCapacityFraction: 0.25, WarmUpDuration: 8 * time.Second, OverloadMultiple: 4, OverloadDuration: time.Second}
-	tightCold = logic.ColdHostRule{InitialCapacityFraction: 0.12, WarmUpDuration: 20 * time.Second, OverloadMultiple: 2.5, OverloadDuration: 1500 * ms}
-	coldDays  = []shape{ // of hosts' sizes; small budgets are those that a hop from each gateway breaks
-		{name: "usual, hosts hang", places: 4, work: 100 * ms, rule: usualCold, load: 0.8, hosts: 12, hangs: 6},
-		{name: "tight, hosts hang", places: 4, work: 100 * ms, rule: tightCold, load: 1, hosts: 12, hangs: 6},
-		{name: "tight, small hosts", places: 1, work: 200 * ms, rule: tightCold, load: 0.8, hosts: 60, hangs: 30},
-		{name: "tight, tiny hosts", places: 1, work: 600 * ms, rule: tightCold, load: 1, hosts: 100, hangs: 50},
-		{name: "tight, one small host left", places: 1, work: 200 * ms, rule: tightCold, load: 30, hosts: 3, hangs: 2},
+	usualColdRule  = logic.ColdHostRule{InitialCapacityFraction: 0.25, WarmUpDuration: 8 * time.Second, OverloadMultiple: 4, OverloadDuration: time.Second}
+	strictColdRule = logic.ColdHostRule{InitialCapacityFraction: 0.12, WarmUpDuration: 20 * time.Second, OverloadMultiple: 2.5, OverloadDuration: 1500 * ms}
+	coldHostCases  = []fleetScenario{ // the smallest budgets are exceeded if each gateway sends one hop
+		{name: "usual, hosts hang", slotsPerHost: 4, hopTime: 100 * ms, coldRule: usualColdRule, offeredLoad: 0.8, hostCount: 12, hangingHosts: 6},
+		{name: "tight, hosts hang", slotsPerHost: 4, hopTime: 100 * ms, coldRule: strictColdRule, offeredLoad: 1, hostCount: 12, hangingHosts: 6},
+		{name: "tight, small hosts", slotsPerHost: 1, hopTime: 200 * ms, coldRule: strictColdRule, offeredLoad: 0.8, hostCount: 60, hangingHosts: 30},
+		{name: "tight, tiny hosts", slotsPerHost: 1, hopTime: 600 * ms, coldRule: strictColdRule, offeredLoad: 1, hostCount: 100, hangingHosts: 50},
+		{name: "tight, one small host left", slotsPerHost: 1, hopTime: 200 * ms, coldRule: strictColdRule, offeredLoad: 30, hostCount: 3, hangingHosts: 2},
 	}
 )
 
-func (s shape) on(day shape) shape {
-	s.places, s.work, s.rule, s.load, s.hosts, s.hangs = day.places, day.work, day.rule, day.load, day.hosts, day.hangs
-	return s
+// withHostsOf returns the scenario with the hosts and the load of hostCase.
+func (scenario fleetScenario) withHostsOf(hostCase fleetScenario) fleetScenario {
+	scenario.slotsPerHost, scenario.hopTime, scenario.coldRule, scenario.offeredLoad, scenario.hostCount, scenario.hangingHosts = hostCase.slotsPerHost, hostCase.hopTime, hostCase.coldRule, hostCase.offeredLoad, hostCase.hostCount, hostCase.hangingHosts
+	return scenario
 }
 
-// What thirty gateways send a cold host in any window stays within what the settings allow, N, and chance, 2 x root of N + 2, whatever they learn
-// by; half of them have just been started, and some get five times what others do. As each might send one hop however small its share, thirty sent
-// a host of which N was 3 twice what chance explains, and twenty more: they had no lot to draw at all.
+// The hops that all gateways send to a cold host in any window stay within the configured budget N plus chance, 2*sqrt(N) + 2, with each source
+// of information, although half of the gateways have just restarted and some get five times the traffic of others. It failed when each gateway
+// could send one hop however small its share was: with N = 3 thirty gateways sent twice what chance explains. Twenty gateways sent even more:
+// so few were not subject to a random draw at all.
 func Example_coldFleet() {
-	for _, day := range coldDays {
-		worst, sent := 0.0, 0
-		for _, s := range coldShapes {
+	for _, hostCase := range coldHostCases {
+		maxRatio, coldHops := 0.0, 0
+		for _, sourceCase := range coldSourceCases {
 			for seed := range uint64(2) {
-				f := play(s.on(day), seed)
-				worst, sent = max(worst, f.worst), sent+f.sent
-				if f.over != "" {
-					fmt.Printf("%s, %s: %s\n", day.name, s.name, f.over)
+				f := runRestart(sourceCase.withHostsOf(hostCase), seed)
+				maxRatio, coldHops = max(maxRatio, f.maxLimitRatio), coldHops+f.coldHops
+				if f.firstViolation != "" {
+					fmt.Printf("%s, %s: %s\n", hostCase.name, sourceCase.name, f.firstViolation)
 				}
 			}
 		}
-		fmt.Printf("%s: cold hosts get some: %t, within what is allowed: %t\n", day.name, sent > 100, worst <= 1)
+		fmt.Printf("%s: cold hosts used: %t, within the limit: %t\n", hostCase.name, coldHops > 100, maxRatio <= 1)
 	}
 	// Output:
-	// usual, hosts hang: cold hosts get some: true, within what is allowed: true
-	// tight, hosts hang: cold hosts get some: true, within what is allowed: true
-	// tight, small hosts: cold hosts get some: true, within what is allowed: true
-	// tight, tiny hosts: cold hosts get some: true, within what is allowed: true
-	// tight, one small host left: cold hosts get some: true, within what is allowed: true
+	// usual, hosts hang: cold hosts used: true, within the limit: true
+	// tight, hosts hang: cold hosts used: true, within the limit: true
+	// tight, small hosts: cold hosts used: true, within the limit: true
+	// tight, tiny hosts: cold hosts used: true, within the limit: true
+	// tight, one small host left: cold hosts used: true, within the limit: true
 }
 
-// Where settings say a wrong number of gateways, each goes by that: too high a one only warms hosts more slowly; with a third of those there are all
-// may send three times their shares, and nothing that a gateway learns tells it so.
-func Example_coldFleet_miscounted() {
-	for _, told := range []int{90, 30, 10} {
-		worst := 0.0
-		for _, s := range coldShapes[:6] { // those of thirty
-			s.told = told
+// Gateways rely on the configured gateway count. If it is too high, hosts only warm up more slowly. If it is a third of the actual count, the
+// gateways together may send three times the budget, and nothing that a gateway learns shows it.
+func Example_coldFleet_wrongGatewayCount() {
+	for _, configured := range []int{90, 30, 10} {
+		maxRatio := 0.0
+		for _, sourceCase := range coldSourceCases[:6] { // those with thirty gateways
+			sourceCase.configuredGateways = configured
 			for seed := range uint64(2) {
-				worst = max(worst, play(s.on(coldDays[4]), seed).worst)
+				maxRatio = max(maxRatio, runRestart(sourceCase.withHostsOf(coldHostCases[4]), seed).maxLimitRatio)
 			}
 		}
-		fmt.Printf("%d said, 30 there: within what is allowed: %t\n", told, worst <= 1)
+		fmt.Printf("%d gateways configured, 30 running: within the limit: %t\n", configured, maxRatio <= 1)
 	}
 	// Output:
-	// 90 said, 30 there: within what is allowed: true
-	// 30 said, 30 there: within what is allowed: true
-	// 10 said, 30 there: within what is allowed: false
+	// 90 gateways configured, 30 running: within the limit: true
+	// 30 gateways configured, 30 running: within the limit: true
+	// 10 gateways configured, 30 running: within the limit: false
 }
--- a/tools/scale/meter.go
+++ b/tools/scale/meter.go
@@ -10,128 +10,128 @@
 )
 
 const (
-	batchLeast  = 2 * time.Millisecond   // of processor time for one reading: far over the clock's own cost
-	batchMost   = 4096                   // operations in one reading
-	repsLeast   = 3                      // readings of which the least counts
-	repsMost    = 15                     // ditto: more hardly lower it
-	countedMost = 6                      // operations whose allocations are counted; one where it takes long
-	slice       = 350 * time.Millisecond // for the readings of one point, the first ones aside
+	minBatchCPUTime      = 2 * time.Millisecond   // CPU time of one reading; far above the cost of reading the clock
+	maxBatchOperations   = 4096                   // operations in one reading
+	minReadings          = 3                      // the lowest reading counts
+	maxReadings          = 15                     // more readings hardly lower the minimum
+	maxCountedOperations = 6                      // operations whose allocations are counted; slow operations are counted once
+	readingsDuration     = 350 * time.Millisecond // time for the readings of one size, without those that find the batch size
 )
 
-// cost is what one operation takes.
-type cost struct {
-	seconds float64 // processor time of the thread that does it, the least of all readings; the collector's other threads are not in it
-	allocs  float64 // allocations, the mean
-	bytes   float64 // bytes allocated, the mean
-	reps    int
+// operationCost is the measured cost of one operation.
+type operationCost struct {
+	seconds     float64 // CPU time of the thread that runs it, the lowest of all readings; the collector's other threads are not included
+	allocations float64 // number of allocations: the mean, or the lowest if the meter only counts
+	bytes       float64 // bytes allocated, likewise
+	readings    int
 }
 
-// meter takes readings until its context is over.
+// meter measures operations until its context is done.
 type meter struct {
-	ctx    context.Context
-	counts bool // allocations only, which are the same each time: times are left out
+	ctx        context.Context
+	countsOnly bool // only count allocations, which are repeatable, and measure no times
 }
 
-// threadTime is the processor time that this thread has used.
-func threadTime() time.Duration {
-	var at unix.Timespec
-	if unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &at) != nil {
+// threadCPUTime returns the CPU time that the calling thread has used.
+func threadCPUTime() time.Duration {
+	var clock unix.Timespec
+	if unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &clock) != nil {
 		return 0
 	}
-	return time.Duration(at.Nano())
+	return time.Duration(clock.Nano())
 }
 
-// cost repeats an operation. before, where there is one, comes before each and is not counted.
-func (m *meter) cost(before, op func()) (c cost, err error) {
+// measure repeats an operation and returns its cost. before, if not nil, runs before each operation and is not included.
+func (m *meter) measure(before, op func()) (c operationCost, err error) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	timed := func(n int) (spent time.Duration) {
+	measureTime := func(n int) (spent time.Duration) {
 		for range n {
 			if before != nil {
 				before()
 			}
-			from := threadTime()
+			start := threadCPUTime()
 			op()
-			spent += threadTime() - from
+			spent += threadCPUTime() - start
 		}
 		return spent
 	}
-	if before == nil { // one reading for all
-		timed = func(n int) time.Duration {
-			from := threadTime()
+	if before == nil { // reads the clock once for the whole batch
+		measureTime = func(n int) time.Duration {
+			start := threadCPUTime()
 			for range n {
 				op()
 			}
-			return threadTime() - from
+			return threadCPUTime() - start
 		}
 	}
-	if m.counts {
-		timed(1) // what the first leaves behind for the next does not count
-		c.seconds, c.reps = 1, 1
-		c.count(before, op, true)
+	if m.countsOnly {
+		measureTime(1) // first-use allocations are not counted
+		c.seconds, c.readings = 1, 1
+		c.countAllocations(before, op, true)
 		return c, m.ctx.Err()
 	}
 	n := 1
-	for n < batchMost && timed(n) < batchLeast { // the first finds nothing in any cache, and does not count
+	for n < maxBatchOperations && measureTime(n) < minBatchCPUTime { // these readings run with cold caches and are not counted
 		n *= 2
 	}
 	c.seconds = math.Inf(1)
-	until := time.Now().Add(slice)
+	deadline := time.Now().Add(readingsDuration)
 	runtime.GC()
-	for c.reps < repsLeast || c.reps < repsMost && time.Now().Before(until) {
+	for c.readings < minReadings || c.readings < maxReadings && time.Now().Before(deadline) {
 		if err := m.ctx.Err(); err != nil {
 			return c, err
 		}
-		c.seconds = min(c.seconds, timed(n).Seconds()/float64(n))
-		c.reps++
+		c.seconds = min(c.seconds, measureTime(n).Seconds()/float64(n))
+		c.readings++
 	}
-	c.count(before, op, false)
+	c.countAllocations(before, op, false)
 	return c, nil
 }
 
-// count takes the allocations of some operations, of one where it takes long: the mean; the least where only these are asked for, as
-// whatever else the process does may come into one of them.
-func (c *cost) count(before, op func(), least bool) {
-	counted := countedMost
-	if c.seconds > slice.Seconds()/10 && !least {
-		counted = 1
+// countAllocations runs the operation several times, or once if it is slow, and records the mean of its allocations. With useLeast it records
+// the lowest count instead, as other goroutines may allocate during one of the runs.
+func (c *operationCost) countAllocations(before, op func(), useLeast bool) {
+	operations := maxCountedOperations
+	if c.seconds > readingsDuration.Seconds()/10 && !useLeast {
+		operations = 1
 	}
-	leastA, leastB := math.Inf(1), math.Inf(1)
-	for range counted {
+	leastAllocations, leastBytes := math.Inf(1), math.Inf(1)
+	for range operations {
 		if before != nil {
 			before()
 		}
-		a, b := counts(op)
-		c.allocs += a / float64(counted)
-		c.bytes += b / float64(counted)
-		leastA, leastB = min(leastA, a), min(leastB, b)
+		allocations, bytes := allocationsOf(op)
+		c.allocations += allocations / float64(operations)
+		c.bytes += bytes / float64(operations)
+		leastAllocations, leastBytes = min(leastAllocations, allocations), min(leastBytes, bytes)
 	}
-	if least {
-		c.allocs, c.bytes = leastA, leastB
+	if useLeast {
+		c.allocations, c.bytes = leastAllocations, leastBytes
 	}
 }
 
-// counts are the allocations of one operation, and their bytes.
-func counts(op func()) (allocs, bytes float64) {
-	var from, to runtime.MemStats
-	runtime.ReadMemStats(&from)
+// allocationsOf runs the operation and returns the number of allocations and of bytes allocated.
+func allocationsOf(op func()) (allocations, bytes float64) {
+	var before, after runtime.MemStats
+	runtime.ReadMemStats(&before)
 	op()
-	runtime.ReadMemStats(&to)
-	return float64(to.Mallocs - from.Mallocs), float64(to.TotalAlloc - from.TotalAlloc)
+	runtime.ReadMemStats(&after)
+	return float64(after.Mallocs - before.Mallocs), float64(after.TotalAlloc - before.TotalAlloc)
 }
 
-// liveHeap is the bytes that stay in use for what is built.
-func liveHeap(build func() any) float64 {
-	live := func() uint64 {
+// retainedHeapBytes returns how much the live heap grows by what build returns.
+func retainedHeapBytes(build func() any) float64 {
+	liveBytes := func() uint64 {
 		runtime.GC()
-		runtime.GC() // what the first has freed the second has swept
-		var at runtime.MemStats
-		runtime.ReadMemStats(&at)
-		return at.HeapAlloc
+		runtime.GC() // the second collection sweeps what the first has freed
+		var stats runtime.MemStats
+		runtime.ReadMemStats(&stats)
+		return stats.HeapAlloc
 	}
-	from := live()
+	before := liveBytes()
 	built := build()
-	to := live()
+	after := liveBytes()
 	runtime.KeepAlive(built)
-	return max(0, float64(to)-float64(from))
+	return max(0, float64(after)-float64(before))
 }
--- a/tools/scale/scale_test.go
+++ b/tools/scale/scale_test.go
@@ -12,34 +12,35 @@
 	"time"
 )
 
-// powers are points of value = 3 * size^by, times what is told of some.
-func powers(by float64, off map[int]float64, sizes ...int) (points []point) {
+// powerLawPoints returns points of value = 3 * size^exponent, multiplied by a factor at some sizes.
+func powerLawPoints(exponent float64, factors map[int]float64, sizes ...int) (points []point) {
 	for _, n := range sizes {
-		times := off[n]
-		if times == 0 {
-			times = 1
+		factor := factors[n]
+		if factor == 0 {
+			factor = 1
 		}
-		points = append(points, point{n, 3 * math.Pow(float64(n), by) * times, 1})
+		points = append(points, point{n, 3 * math.Pow(float64(n), exponent) * factor, 1})
 	}
 	return points
 }
 
-// A power law is found again; a point off it by more than a quarter, or a bend, is said, with where; what has no growth is no fit.
+// The fit finds a power law again, and reports a point that deviates by more than a quarter, or a bend, with its size. Fewer than two points
+// above zero can't be fitted.
 func Example_fitted() {
 	show := func(points []point) {
-		f, err := fitted(points)
+		f, err := fitPowerLaw(points)
 		if err != nil {
 			fmt.Println(err)
 			return
 		}
-		fmt.Printf("%.2f, slope %.4g, %s\n", f.Exponent, f.PerUnit, f.verdict())
+		fmt.Printf("%.2f, slope %.4g, %s\n", f.Exponent, f.TailSlope, f.verdict())
 	}
-	show(powers(1, nil, 10, 100, 1000))
-	show(powers(2, nil, 10, 100, 1000))
-	show(powers(1, map[int]float64{100: 1.2}, 10, 100, 1000))
-	show(powers(1, map[int]float64{100: 2}, 10, 100, 1000))
-	show(append(powers(0, nil, 10, 100), powers(2, nil, 1000, 10_000, 100_000)...))
-	show(powers(1, nil, 10))
+	show(powerLawPoints(1, nil, 10, 100, 1000))
+	show(powerLawPoints(2, nil, 10, 100, 1000))
+	show(powerLawPoints(1, map[int]float64{100: 1.2}, 10, 100, 1000))
+	show(powerLawPoints(1, map[int]float64{100: 2}, 10, 100, 1000))
+	show(append(powerLawPoints(0, nil, 10, 100), powerLawPoints(2, nil, 1000, 10_000, 100_000)...))
+	show(powerLawPoints(1, nil, 10))
 	show([]point{{10, 0, 1}, {100, 0, 1}})
 	// Output:
 	// 1.00, slope 3, line (0% off at the most)
@@ -51,12 +52,12 @@
 	// 0 points above zero: no growth can be fitted
 }
 
-// Inside what was measured a forecast goes by the points beside it, beyond by the growth at the large end.
+// Within the measured sizes a forecast interpolates between the neighbouring points; beyond them it follows the growth at the large end.
 func Example_forecast() {
-	s := &series{Points: append(powers(0, nil, 10, 100), powers(2, nil, 1000, 10_000, 100_000)...)}
-	s.Fit, _ = fitted(s.Points)
+	s := &series{Points: append(powerLawPoints(0, nil, 10, 100), powerLawPoints(2, nil, 1000, 10_000, 100_000)...)}
+	s.Fit, _ = fitPowerLaw(s.Points)
 	for _, size := range []int{10, 50, 300, 1000, 20_000, 1_000_000} {
-		fmt.Printf("%d: %.3g, measured %t\n", size, s.forecast(size), s.measured(size))
+		fmt.Printf("%d: %.3g, measured %t\n", size, s.forecast(size), s.covers(size))
 	}
 	// Output:
 	// 10: 3, measured true
@@ -67,8 +68,8 @@
 	// 1000000: 3e+12, measured false
 }
 
-// standIns are measures whose values are known.
-func standIns() []measure {
+// fakeMeasures returns measures with known values.
+func fakeMeasures() []measure {
 	return []measure{{"twice", "hosts", "", "", []int{1, 10, 100}, func(_ *meter, n int) (map[string]float64, int, error) {
 		return map[string]float64{"s": 2e-6 * float64(n), "heap": 100 * float64(n)}, 3, nil
 	}}, {"nought", "hosts", "", "", []int{1, 10, 100}, func(*meter, int) (map[string]float64, int, error) {
@@ -76,18 +77,18 @@
 	}}}
 }
 
-// ran runs the command and tells how it ended.
-func ran(t *testing.T, s *slopes) (string, error) {
+// runSlopes runs the command and returns its output and error.
+func runSlopes(t *testing.T, s *slopesCommand) (string, error) {
 	t.Helper()
 	var out strings.Builder
 	err := s.Run(context.Background(), &out)
 	return out.String(), err
 }
 
-// What is measured is told as it goes, and kept as JSON that reads back, as CSV and as a chart.
-func TestKeeps(t *testing.T) {
+// Progress is printed, and the results are saved as JSON that can be read back, as CSV and as a chart.
+func TestSavesResults(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "results")
-	out, err := ran(t, &slopes{Within: time.Minute, Out: folder, Procs: 1, measures: standIns})
+	out, err := runSlopes(t, &slopesCommand{Timeout: time.Minute, OutputFolder: folder, Procs: 1, measures: fakeMeasures})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -96,8 +97,8 @@
 			t.Errorf("no %q in:\n%s", want, out)
 		}
 	}
-	r, path, err := last(folder)
-	if err != nil || len(r.Series) != 2 || r.find("twice/heap") == nil || r.find("twice/heap").Points[2].Value != 10_000 {
+	r, path, err := loadLatest(folder)
+	if err != nil || len(r.Series) != 2 || r.findSeries("twice/heap") == nil || r.findSeries("twice/heap").Points[2].Value != 10_000 {
 		t.Fatalf("%v, %+v", err, r)
 	}
 	for end, want := range map[string]string{".csv": "twice/s,hosts,10,2e-05,3,2e-05\n", ".svg": "<svg"} {
@@ -108,22 +109,22 @@
 	}
 }
 
-// It ends when its time is over: what was not measured is named, and one operation that doesn't end does not hold it.
-func TestEnds(t *testing.T) {
-	waits := func(m *meter, _ int) (map[string]float64, int, error) {
+// The command ends at its timeout and lists what was not measured; an operation that never returns doesn't keep it from ending.
+func TestEndsAtTimeout(t *testing.T) {
+	waitForTimeout := func(m *meter, _ int) (map[string]float64, int, error) {
 		<-m.ctx.Done()
 		return nil, 0, m.ctx.Err()
 	}
-	hold := make(chan struct{})
-	defer close(hold)
-	for name, of := range map[string]func(*meter, int) (map[string]float64, int, error){"waits": waits,
-		"hangs": func(*meter, int) (map[string]float64, int, error) { <-hold; return nil, 0, nil }} {
-		from := time.Now()
-		out, err := ran(t, &slopes{Within: 50 * time.Millisecond, Procs: 1, late: 50 * time.Millisecond, measures: func() []measure {
-			return append(standIns(), measure{name, "hosts", "", "", []int{1, 10}, of})
+	blocked := make(chan struct{})
+	defer close(blocked)
+	for name, run := range map[string]func(*meter, int) (map[string]float64, int, error){"waits": waitForTimeout,
+		"hangs": func(*meter, int) (map[string]float64, int, error) { <-blocked; return nil, 0, nil }} {
+		start := time.Now()
+		out, err := runSlopes(t, &slopesCommand{Timeout: 50 * time.Millisecond, Procs: 1, overrunTimeout: 50 * time.Millisecond, measures: func() []measure {
+			return append(fakeMeasures(), measure{name, "hosts", "", "", []int{1, 10}, run})
 		}})
-		if time.Since(from) > 5*time.Second {
-			t.Errorf("%s: %v", name, time.Since(from))
+		if time.Since(start) > 5*time.Second {
+			t.Errorf("%s: %v", name, time.Since(start))
 		}
 		switch {
 		case name == "waits" && (!errors.Is(err, errFailed) || !strings.Contains(out, "not measured: waits at 1, waits at 10")):
@@ -134,8 +135,8 @@
 	}
 }
 
-// What makes no sense is turned down with what is wrong; nothing is measured.
-func Example_turnedDown() {
+// Invalid command lines are rejected with the reason, and nothing is measured.
+func Example_rejectedCommandLines() {
 	for _, line := range []string{"slopes --within 0s", "slopes --procs 0", "slopes --most=-1", "slopes --only nothing", "slopes --within soon", "measure",
 		"check --results nowhere", "check --page nowhere.md --results ../../lab/results"} {
 		var c cli
@@ -144,20 +145,20 @@
 		fmt.Printf("%s: %v%s\n", line, err, strings.TrimSpace(out.String()))
 	}
 	// Output:
-	// slopes --within 0s: --within 0s, --procs 2, --most 0: more than nothing is needed
-	// slopes --procs 0: --within 2m0s, --procs 0, --most 0: more than nothing is needed
-	// slopes --most=-1: --within 2m0s, --procs 2, --most -1: more than nothing is needed
-	// slopes --only nothing: nothing is called nothing
+	// slopes --within 0s: --within 0s, --procs 2, --most 0: --within has to be positive, --procs at least 1 and --most not negative
+	// slopes --procs 0: --within 2m0s, --procs 0, --most 0: --within has to be positive, --procs at least 1 and --most not negative
+	// slopes --most=-1: --within 2m0s, --procs 2, --most -1: --within has to be positive, --procs at least 1 and --most not negative
+	// slopes --only nothing: no measure has a name that begins with nothing
 	// slopes --within soon: --within: expected duration but got "soon": time: invalid duration "soon"
 	// measure: unexpected argument measure
 	// check --results nowhere: no results in nowhere: run slopes first
 	// check --page nowhere.md --results ../../lab/results: open nowhere.md: no such file or directory
 }
 
-// Each measure works at its smallest size, the gateway up to its sockets included.
+// Each measure works at its smallest size, including the one of the gateway with its sockets.
 func TestMeasures(t *testing.T) {
 	for _, m := range measures() {
-		values, _, err := m.of(&meter{ctx: context.Background(), counts: true}, m.sizes[0])
+		values, _, err := m.run(&meter{ctx: context.Background(), countsOnly: true}, m.sizes[0])
 		if err != nil || len(values) == 0 {
 			t.Errorf("%s: %v, %v", m.name, values, err)
 		}
