--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -83,7 +83,7 @@
 
 // effectsByName has the values of a profile's effect.
 var effectsByName = map[string]logic.Effect{
-	"idempotent": logic.Idempotent, "deduplicated": logic.Journalled, "at_most_once": logic.NonIdempotent,
+	"idempotent": logic.Idempotent, "deduplicated": logic.Deduplicated, "at_most_once": logic.NonIdempotent,
 }
 
 // capacityHintsByName has the values of weights: what the capacity hints in the host list mean. Without the key the hints are ignored.
@@ -168,7 +168,7 @@
 			return result, fmt.Errorf("settings: profile %s: unknown effect %q", profile.Name, profile.Effect)
 		}
 		scope, ok := dedupScopesByName[profile.DedupScope]
-		if !ok && effect == logic.Journalled {
+		if !ok && effect == logic.Deduplicated {
 			return result, fmt.Errorf("settings: profile %s: unknown group %q", profile.Name, profile.DedupScope)
 		}
 		result.maxHardLimit = max(result.maxHardLimit, microseconds(profile.HardLimit))
--- a/internal/config/update_test.go
+++ b/internal/config/update_test.go
@@ -137,7 +137,7 @@
 	find(2*time.Second, "list", logic.Idempotent)
 	find(3*time.Second, "list", logic.Idempotent)
 	find(3*time.Second, "read", logic.Idempotent)
-	find(3*time.Second, "read", logic.Journalled)
+	find(3*time.Second, "read", logic.Deduplicated)
 	// Output:
 	// 0 index 0 -> 0 index 0 5 3 <nil>
 	// 3 index 0 -> 3 index 2 0 0 <nil>
--- a/internal/protocol/transaction.go
+++ b/internal/protocol/transaction.go
@@ -136,7 +136,7 @@
 	case string(h.Method) == "GET" || t.HeadOnly:
 		t.Effect = logic.Idempotent
 	case hasIdempotencyKey:
-		t.Effect = logic.Journalled
+		t.Effect = logic.Deduplicated
 	default:
 		t.Effect = logic.NonIdempotent
 	}
--- a/logic/faultinjection_test.go
+++ b/logic/faultinjection_test.go
@@ -261,7 +261,7 @@
 	for _, outcome := range []logic.HopOutcome{logic.HopNoConnection, logic.HopError} {
 		t.Run(outcomeNames[outcome], func(t *testing.T) {
 			runFaultTest(t, nil, func(d *deployment) {
-				d.profiles[orderProfileIndex].Effect, d.profiles[orderProfileIndex].DedupWindow = logic.Journalled, time.Second
+				d.profiles[orderProfileIndex].Effect, d.profiles[orderProfileIndex].DedupWindow = logic.Deduplicated, time.Second
 			}, func(sim *simulation) {
 				sim.failHop = func(hop *simHop) (logic.HopOutcome, bool) {
 					down := sim.faultActive() && slices.Contains(quarterOfHosts, hop.host.ID) && (sim.now+time.Duration(hop.host.ID)*700*ms)%(3*time.Second) < 1500*ms
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -95,7 +95,7 @@
 	// Expected time, as a fraction of the service goal, from which a zone is near full.
 	nearFullGoalFraction = 0.25
 	// Hops per slot, the new one included, up to which a host is not near full.
-	uncrowdedHopsPerSlot = 2.0
+	nearFullSlowdownThreshold = 2.0
 	// Expected time, as a fraction of the service goal, over which a transaction is rolled back and a zone is full.
 	maxAdmittedGoalFraction = 0.9
 	// The same if a missed goal costs more than the revenue of the transaction.
@@ -375,31 +375,31 @@
 // streak of failures opens it only if it is improbable at errorFractionElsewhere. The error fraction counts as well,
 // since a host that fails half of its hops may never fail five times in a row. Only the answer to a trial closes an
 // open breaker: late answers to earlier hops prove nothing.
-func (k *breaker) record(failed, overloaded bool, errorSample, errorLimit, errorFractionElsewhere float64,
+func (br *breaker) record(failed, overloaded bool, errorSample, errorLimit, errorFractionElsewhere float64,
 	now time.Duration, jitter float64) bool {
-	wasOpen := k.open
+	wasOpen := br.open
 	switch {
-	case !failed && wasOpen && !k.onTrial:
+	case !failed && wasOpen && !br.onTrial:
 	case !failed:
-		k.consecutiveFailures, k.open, k.onTrial, k.cooldown, k.streakSince = 0, false, false, 0, now
-		k.failureFraction, k.errorFraction = k.failureFraction*(1-failureFractionSmoothing),
-			k.errorFraction*(1-failureFractionSmoothing)
+		br.consecutiveFailures, br.open, br.onTrial, br.cooldown, br.streakSince = 0, false, false, 0, now
+		br.failureFraction, br.errorFraction = br.failureFraction*(1-failureFractionSmoothing),
+			br.errorFraction*(1-failureFractionSmoothing)
 	default:
-		k.consecutiveFailures, k.streakSince = min(k.consecutiveFailures+1, math.MaxUint8-1),
-			ternary(k.consecutiveFailures == 0, now, k.streakSince)
-		k.failureFraction += failureFractionSmoothing * (1 - k.failureFraction)
-		k.errorFraction += errorSample * failureFractionSmoothing * (1 - k.errorFraction)
-		if wasOpen && k.onTrial || !wasOpen &&
-			(k.consecutiveFailures >=
+		br.consecutiveFailures, br.streakSince = min(br.consecutiveFailures+1, math.MaxUint8-1),
+			ternary(br.consecutiveFailures == 0, now, br.streakSince)
+		br.failureFraction += failureFractionSmoothing * (1 - br.failureFraction)
+		br.errorFraction += errorSample * failureFractionSmoothing * (1 - br.errorFraction)
+		if wasOpen && br.onTrial || !wasOpen &&
+			(br.consecutiveFailures >=
 				ternary[uint8](overloaded, consecutiveOverloadsToOpen, consecutiveFailuresToOpen) &&
-				math.Pow(errorFractionElsewhere, float64(k.consecutiveFailures)) < maxFailureStreakProbability ||
-				k.errorFraction >= errorLimit) {
-			k.open, k.onTrial, k.openedByOverload = true, false, overloaded || wasOpen && k.openedByOverload
-			k.cooldown = min(max(2*k.cooldown, ternary(overloaded, maxCooldown, initialCooldown)), maxCooldown)
-			k.nextTrialAt = now + time.Duration((0.75+jitter/2)*float64(k.cooldown)) // not in step with other gateways
+				math.Pow(errorFractionElsewhere, float64(br.consecutiveFailures)) < maxFailureStreakProbability ||
+				br.errorFraction >= errorLimit) {
+			br.open, br.onTrial, br.openedByOverload = true, false, overloaded || wasOpen && br.openedByOverload
+			br.cooldown = min(max(2*br.cooldown, ternary(overloaded, maxCooldown, initialCooldown)), maxCooldown)
+			br.nextTrialAt = now + time.Duration((0.75+jitter/2)*float64(br.cooldown)) // not in step with other gateways
 		}
 	}
-	return k.open != wasOpen
+	return br.open != wasOpen
 }
 
 // unresponsive reports whether a host has answered nothing for far longer than its hops in flight explain. It gets no
@@ -437,11 +437,11 @@
 		if slowdown == 1 || h.kindStats.concurrencyLimit() > 0 || !b.slotsUnknown(h) {
 			// Some hops that wait must not bar all others.
 			maxTime := min(overdueServiceTimeMultiple*serviceTime.value, float64(b.profiles[profile].ServiceGoal))
-			uncrowded := took / slowdown / h.serviceTimeRatio.value
-			uncrowded = ternary(b.sources.PeersShareInFlight && serviceTime.samples*mediumTermSmoothing >= 1,
-				min(uncrowded, maxTime), uncrowded)
-			serviceTime.add(uncrowded, mediumTermSmoothing)
-			b.longTermServiceTime[profile].add(uncrowded, longTermSmoothing)
+			uncontendedTime := took / slowdown / h.serviceTimeRatio.value
+			uncontendedTime = ternary(b.sources.PeersShareInFlight && serviceTime.samples*mediumTermSmoothing >= 1,
+				min(uncontendedTime, maxTime), uncontendedTime)
+			serviceTime.add(uncontendedTime, mediumTermSmoothing)
+			b.longTermServiceTime[profile].add(uncontendedTime, longTermSmoothing)
 			h.group.queueingRatio.add(took/slowdown/b.minServiceTime[profile], queueingRatioSmoothing)
 			h.recordServiceTimeRatio(took / slowdown / serviceTime.value)
 		}
@@ -580,7 +580,7 @@
 				maxTime = math.Inf(1)
 			} else if !allowBarred && !h.breakersClosed(t.profile) || // on trial
 				h.kindStats.concurrencyLimit() > 0 || hostTime <= maxTime &&
-				(h.slowdown(h.inFlight()+1) <= uncrowdedHopsPerSlot || hostTime <= nearFullTime) {
+				(h.slowdown(h.inFlight()+1) <= nearFullSlowdownThreshold || hostTime <= nearFullTime) {
 				return h, hostTime
 			} else {
 				maxTime = (1 - crossZonePenalty) * min(maxTime, hostTime)
@@ -681,7 +681,7 @@
 // chooseByZone returns the host for a hop where this gateway judges zones rather than hosts, nil if there is none. It
 // takes the own zone, except for the part of the traffic that spills over to zones with spare capacity.
 func (b *Balancer) chooseByZone(t *tx) *host {
-	for _, h := range b.hosts.startKnown { // use this gateway's part of their budget, or they would stay cold
+	for _, h := range b.hosts.withStartTime { // use this gateway's part of their budget, or they would stay cold
 		if b.isCold(h) && t.mayRunOn(h, b.now) && b.withinColdBudget(h, t.profile) && !b.unresponsive(h) &&
 			b.passesBreakers(h, t) {
 			return h
@@ -801,7 +801,7 @@
 	// This gateway sees only its own hops; the more gateways a zone has, the more others are at a host.
 	ownHopsPerSlot := 1 +
 		(maxHopsPerSlot-1)/math.Sqrt(max(1, float64(b.topology.GatewayCount)/float64(len(b.hosts.groups))))
-	hopsPerSlot := ternary(b.fewWithoutReports(), ownHopsPerSlot,
+	hopsPerSlot := ternary(b.fewGatewaysWithoutReports(), ownHopsPerSlot,
 		ternary(b.hostsReportInFlight(), maxHopsPerSlotWithReports, maxHopsPerSlot))
 	// Relative to the service time.
 	slowdownLimit := func(i int) float64 {
@@ -1101,7 +1101,7 @@
 // lasting effect, and else abandoned.
 func (b *Balancer) finishTransaction(t *tx) {
 	if t.profileConfig.Effect == Idempotent || t.possiblyRunHop() == nil ||
-		t.profileConfig.Effect == Journalled && t.profileConfig.DedupScope == DedupAllHosts {
+		t.profileConfig.Effect == Deduplicated && t.profileConfig.DedupScope == DedupAllHosts {
 		b.executor.RollBack(t.id, min(time.Duration(b.serviceTime[t.profile].value), b.hopRule.MaxRetryAfter))
 	} else {
 		b.executor.Abandon(t.id)
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -31,7 +31,7 @@
 
 // A journalled transaction that may have run is retried only at hosts that drop its repeats, here those of the same
 // cell, and only within its deduplication window.
-func Example_journalled() {
+func Example_deduplicated() {
 	gw := startGateway([]logic.Profile{orderProfile}, nil, readyHost(1, "a", 1), readyHost(2, "a", 2),
 		readyHost(3, "b", 1), readyHost(4, "b", 2))
 	gw.receive(1, 0, -1)
--- a/logic/rulechecker_test.go
+++ b/logic/rulechecker_test.go
@@ -42,7 +42,7 @@
 	if t != nil {
 		c.check("rolled back though it may have run", !rolledBack || t.possiblyRanOn == nil && t.hopsInFlight == 0 ||
 			t.profile.Effect == logic.Idempotent ||
-			t.profile.Effect == logic.Journalled && t.profile.DedupScope == logic.DedupAllHosts)
+			t.profile.Effect == logic.Deduplicated && t.profile.DedupScope == logic.DedupAllHosts)
 		t.answered = true
 	}
 }
@@ -56,7 +56,7 @@
 	}
 	target := hostWithID(hostID)
 	c.check("may run twice", t.possiblyRanOn == nil && t.hopsInFlight == 0 || t.profile.Effect == logic.Idempotent ||
-		t.profile.Effect == logic.Journalled && t.possiblyRanOn != nil && t.possiblyRanOn.Zone == target.Zone)
+		t.profile.Effect == logic.Deduplicated && t.possiblyRanOn != nil && t.possiblyRanOn.Zone == target.Zone)
 	t.hops = append(t.hops, target)
 	t.hopsInFlight++
 }
@@ -165,7 +165,7 @@
 		*received++
 		profile := random.IntN(3)
 		c.txs[logic.TxID(*received)] = &checkedTx{profile: []logic.Profile{readProfile,
-			{Effect: logic.Journalled, DedupScope: logic.DedupSameZone}, paymentProfile}[profile]}
+			{Effect: logic.Deduplicated, DedupScope: logic.DedupSameZone}, paymentProfile}[profile]}
 		c.TransactionReceived(c.now, logic.TxID(*received), logic.Arrival{ProfileIndex: profile,
 			TenantIndex: random.IntN(2) - 1, Budget: time.Duration(random.IntN(2000)) * ms})
 	default:
--- a/logic/state.go
+++ b/logic/state.go
@@ -155,7 +155,7 @@
 	for _, kind := range slices.Sorted(maps.Keys(b.hosts.kinds)) {
 		stats := b.hosts.kinds[kind]
 		learned.Kinds = append(learned.Kinds, LearnedHostKind{kind, stats.slots.export(), stats.serviceTimeRatio.export(),
-			stats.meanInFlight.export(), stats.uncrowdedInFlight.export(), stats.uncrowdedUtilization.export()})
+			stats.meanInFlight.export(), stats.lowLoadInFlight.export(), stats.lowLoadUtilization.export()})
 	}
 	for _, h := range b.hosts.ready {
 		entry := LearnedHost{ID: h.ID, Uptime: ternary(h.StartedAt == 0, -1, now-h.StartedAt), Weight: h.weight,
@@ -182,9 +182,9 @@
 	}
 	for _, entry := range learned.Kinds {
 		if stats := b.hosts.kinds[entry.Kind]; stats != nil && stats.slots.samples == 0 && stats.serviceTimeRatio.samples == 0 {
-			stats.slots, stats.serviceTimeRatio, stats.meanInFlight, stats.uncrowdedInFlight, stats.uncrowdedUtilization =
+			stats.slots, stats.serviceTimeRatio, stats.meanInFlight, stats.lowLoadInFlight, stats.lowLoadUtilization =
 				entry.Slots.movingAverage(), entry.ServiceTimeRatio.movingAverage(), entry.MeanInFlight.movingAverage(),
-				entry.UncrowdedInFlight.movingAverage(), entry.UncrowdedUtilization.movingAverage()
+				entry.LowLoadInFlight.movingAverage(), entry.LowLoadUtilization.movingAverage()
 		}
 	}
 	if age > observationTTL {
@@ -426,9 +426,9 @@
 	return pending
 }
 
-// manyWithoutPeerMessages reports whether this is one of many gateways (more than maxIndependentGateways) that exchange
+// manyGatewaysWithoutPeerMessages reports whether this is one of many gateways (more than maxIndependentGateways) that exchange
 // no peer messages: they know each other's load only from what hosts report.
-func (b *Balancer) manyWithoutPeerMessages() bool {
+func (b *Balancer) manyGatewaysWithoutPeerMessages() bool {
 	return !b.sources.PeersShareInFlight && b.topology.GatewayCount > maxIndependentGateways
 }
 
@@ -441,22 +441,22 @@
 // usesLiveCapacity reports whether the load of hosts is known from the live capacity hints of the host list, and from
 // nothing else.
 func (b *Balancer) usesLiveCapacity() bool {
-	return b.sources.CapacityHints == LiveCapacity && b.manyWithoutPeerMessages()
+	return b.sources.CapacityHints == LiveCapacity && b.manyGatewaysWithoutPeerMessages()
 }
 
 // hasNoLoadInfo reports whether this is one of many gateways that learn about hosts from the outcomes of their own hops
 // alone.
 func (b *Balancer) hasNoLoadInfo() bool {
-	return b.manyWithoutPeerMessages() && !b.sources.ResponsesReportLoad && !b.sources.ProbesReportLoad &&
+	return b.manyGatewaysWithoutPeerMessages() && !b.sources.ResponsesReportLoad && !b.sources.ProbesReportLoad &&
 		b.sources.CapacityHints != LiveCapacity
 }
 
 // judgesByZone reports whether load is judged by zone, as too little is known in time of any one host.
 func (b *Balancer) judgesByZone() bool { return b.usesLiveCapacity() || b.hasNoLoadInfo() }
 
-// fewWithoutReports reports whether this is one of few gateways that learn about hosts from the outcomes of their own
+// fewGatewaysWithoutReports reports whether this is one of few gateways that learn about hosts from the outcomes of their own
 // hops and from occasional probes.
-func (b *Balancer) fewWithoutReports() bool {
+func (b *Balancer) fewGatewaysWithoutReports() bool {
 	return b.topology.GatewayCount <= maxIndependentGateways && !b.sources.PeersShareInFlight && !b.sources.ResponsesReportLoad
 }
 
@@ -578,7 +578,7 @@
 	if b.hostsReportInFlight() && load.InFlight >= 0 {
 		h.recordReportedInFlight(load, steady, b.now)
 		h.group.reportedInFlight = movingAverage{h.reportedInFlight, 1}
-	} else if b.manyWithoutPeerMessages() && load.Queued >= 0 {
+	} else if b.manyGatewaysWithoutPeerMessages() && load.Queued >= 0 {
 		h.group.queuedPerHost.add(load.Queued, shortTermSmoothing)
 		h.estimatedInFlight, h.estimatedInFlightAt = load.Queued+max(0, load.RequestsPerSecond*load.LatencyMs/1000), b.now
 	}
@@ -775,7 +775,7 @@
 	byID                    map[HostID]*host
 	kinds                   map[string]*kindStats
 	ready                   []*host      // by ID
-	startKnown              []*host      // ready hosts whose start time is known
+	withStartTime           []*host      // ready hosts whose start time is known
 	groups                  []*zoneGroup // one for each zone, this gateway's first
 	maxCapacityHint         float64      // largest that the list gave any host
 	consecutiveListFailures int          // requests for the list in a row that failed
@@ -945,7 +945,7 @@
 // rebuildGroups puts the ready hosts into the groups of their zones, and drops hosts that are gone once no own hop is in
 // flight there.
 func (t *hostTable) rebuildGroups() {
-	t.ready, t.startKnown = t.ready[:0], t.startKnown[:0]
+	t.ready, t.withStartTime = t.ready[:0], t.withStartTime[:0]
 	for _, g := range t.groups {
 		g.hosts = g.hosts[:0]
 	}
@@ -959,7 +959,7 @@
 			h.group = t.groups[i]
 			t.ready, h.group.hosts = append(t.ready, h), append(h.group.hosts, h)
 			if h.StartedAt > 0 {
-				t.startKnown = append(t.startKnown, h)
+				t.withStartTime = append(t.withStartTime, h)
 			}
 		} else if h.State == HostGone && h.ownInFlight == 0 {
 			delete(t.byID, id)
@@ -972,18 +972,18 @@
 
 // kindStats is what was learned of the hosts of one kind.
 type kindStats struct {
-	weight               float64       // factor on the weight of each such host, with live capacity hints
-	inFlightPerCore      movingAverage // mean hops per core at these hosts, with live capacity hints
-	maxCapacityHint      float64       // largest that the list gave one of them: that of an idle host
-	answersThisSecond    float64       // successful hops at warm hosts in the current second
-	warmHosts            float64       // how many hosts these answers come from
-	answersPerSecond     movingAverage // by warm host
-	slots                movingAverage // hops that a full host works on at a time, where reports show it
-	meanInFlight         movingAverage // hops in flight at a host, where hosts report them and their utilization
-	uncrowdedInFlight    movingAverage // the same from reports of no more than the mean, while cores are free
-	uncrowdedUtilization movingAverage // utilization in these reports
-	overloaded           bool          // one of these hosts was overloaded: from then on the slots count as known
-	serviceTimeRatio     movingAverage // service time relative to the usual one of the profile
+	weight             float64       // factor on the weight of each such host, with live capacity hints
+	inFlightPerCore    movingAverage // mean hops per core at these hosts, with live capacity hints
+	maxCapacityHint    float64       // largest that the list gave one of them: that of an idle host
+	answersThisSecond  float64       // successful hops at warm hosts in the current second
+	warmHosts          float64       // how many hosts these answers come from
+	answersPerSecond   movingAverage // by warm host
+	slots              movingAverage // hops that a full host works on at a time, where reports show it
+	meanInFlight       movingAverage // hops in flight at a host, where hosts report them and their utilization
+	lowLoadInFlight    movingAverage // the same from reports of no more than the mean, while cores are free
+	lowLoadUtilization movingAverage // utilization in these reports
+	overloaded         bool          // one of these hosts was overloaded: from then on the slots count as known
+	serviceTimeRatio   movingAverage // service time relative to the usual one of the profile
 }
 
 // zoneGroup holds the ready hosts of one zone and what is known of them together.
@@ -1089,8 +1089,8 @@
 
 // concurrencyLimit returns the number of hops in flight at which all cores of such a host are in use, 0 where that is
 // not known.
-func (m *kindStats) concurrencyLimit() float64 {
-	return ternary(m.uncrowdedUtilization.samples > 0, m.uncrowdedInFlight.value/m.uncrowdedUtilization.value, 0)
+func (s *kindStats) concurrencyLimit() float64 {
+	return ternary(s.lowLoadUtilization.samples > 0, s.lowLoadInFlight.value/s.lowLoadUtilization.value, 0)
 }
 
 // recordReportedInFlight takes in the hops of other gateways at a host, and, for the concurrency limit of its kind, its
@@ -1100,16 +1100,16 @@
 func (h *host) recordReportedInFlight(load LoadReport, steady bool, now time.Duration) {
 	h.reportedInFlight, h.reportedInFlightAt = max(0, load.InFlight-float64(h.ownInFlight)), now
 	stats := h.kindStats
-	if stats.uncrowdedInFlight.samples == 0 {
-		stats.uncrowdedInFlight, stats.uncrowdedUtilization =
+	if stats.lowLoadInFlight.samples == 0 {
+		stats.lowLoadInFlight, stats.lowLoadUtilization =
 			movingAverage{initialConcurrencyLimit / 2, concurrencyLimitPriorSamples},
 			movingAverage{0.5, concurrencyLimitPriorSamples}
 	}
 	if load.Utilization > 0 && load.InFlight >= 1 {
 		if stats.meanInFlight.add(load.InFlight, mediumTermSmoothing); load.InFlight <= stats.meanInFlight.value &&
 			load.Utilization < maxConcurrencyLimitUtilization && steady {
-			stats.uncrowdedInFlight.add(load.InFlight, mediumTermSmoothing)
-			stats.uncrowdedUtilization.add(load.Utilization, mediumTermSmoothing)
+			stats.lowLoadInFlight.add(load.InFlight, mediumTermSmoothing)
+			stats.lowLoadUtilization.add(load.Utilization, mediumTermSmoothing)
 		}
 	}
 }
@@ -1133,7 +1133,7 @@
 		}
 	}
 	// A few short answers do not show the least service time.
-	useLongTerm := b.hostsReportInFlight() || b.fewWithoutReports() || b.usesLiveCapacity()
+	useLongTerm := b.hostsReportInFlight() || b.fewGatewaysWithoutReports() || b.usesLiveCapacity()
 	for i := range b.serviceTime {
 		serviceTime := &b.serviceTime[i]
 		// Without new samples, as of a profile that is always rejected, the time would drift away.
--- a/logic/testgateway_test.go
+++ b/logic/testgateway_test.go
@@ -26,7 +26,7 @@
 
 var (
 	readProfile  = logic.Profile{Name: "read", Effect: logic.Idempotent, ServiceGoal: 400 * ms, Revenue: 1}
-	orderProfile = logic.Profile{Name: "order", Effect: logic.Journalled, DedupScope: logic.DedupSameCell, DedupWindow: 300 * ms,
+	orderProfile = logic.Profile{Name: "order", Effect: logic.Deduplicated, DedupScope: logic.DedupSameCell, DedupWindow: 300 * ms,
 		ServiceGoal: 400 * ms, Revenue: 1}
 	paymentProfile = logic.Profile{Name: "payment", Effect: logic.NonIdempotent, ServiceGoal: 400 * ms, Revenue: 1}
 )
--- a/logic/types.go
+++ b/logic/types.go
@@ -79,12 +79,12 @@
 
 // LearnedHostKind is what the hosts of one kind have in common.
 type LearnedHostKind struct {
-	Kind                 string
-	Slots                SmoothedMean `json:"Places"` // hops that a fully loaded host works on at once
-	ServiceTimeRatio     SmoothedMean `json:"Pace"`   // hop time relative to the usual one; above 1 is slower
-	MeanInFlight         SmoothedMean `json:"Usual"`
-	UncrowdedInFlight    SmoothedMean `json:"Held"` // in-flight count at hosts with free cores
-	UncrowdedUtilization SmoothedMean `json:"Busy"` // utilization of the same hosts
+	Kind               string
+	Slots              SmoothedMean `json:"Places"` // hops that a fully loaded host works on at once
+	ServiceTimeRatio   SmoothedMean `json:"Pace"`   // hop time relative to the usual one; above 1 is slower
+	MeanInFlight       SmoothedMean `json:"Usual"`
+	LowLoadInFlight    SmoothedMean `json:"Held"` // in-flight count at hosts with free cores
+	LowLoadUtilization SmoothedMean `json:"Busy"` // utilization of the same hosts
 }
 
 // LearnedHost is what was learned of one host. It no longer applies to a host that has restarted since.
@@ -181,7 +181,7 @@
 
 const (
 	Idempotent    Effect = iota
-	Journalled           // hosts drop repeats, within Profile.DedupScope and Profile.DedupWindow
+	Deduplicated         // hosts drop repeats, within Profile.DedupScope and Profile.DedupWindow
 	NonIdempotent        // must not run twice
 )
 
@@ -235,8 +235,8 @@
 )
 
 // NeverRan reports whether the outcome proves that the hop had no effect.
-func (e HopOutcome) NeverRan() bool {
-	return e == HopHostFull || e == HopNoConnection || e == HopNotRun
+func (o HopOutcome) NeverRan() bool {
+	return o == HopHostFull || o == HopNoConnection || o == HopNotRun
 }
 
 // LoadReport is the load that a host reports of itself. Negative values were not reported.
