--- a/logic/logic.go
+++ b/logic/logic.go
@@ -17,84 +17,90 @@
 	remotePickTimeout = 100 * time.Millisecond
 	// Remote picks that take more than this fraction of the service goal cost more than they bring.
 	maxRemotePickGoalFraction = 0.25
-	// Remote picks in a row without a response after which this gateway itself is taken to be cut off: five
-	// coordinators, one after the other, have been silent.
+	// Remote picks in a row without a response after which this gateway itself is assumed to be cut off: by then five
+	// coordinators, one after the other, have not responded.
 	unansweredPicksToSuspectIsolation = 25
 	// Interval between the aggregates sent to the coordinators of other zones.
 	aggregateInterval = 25 * time.Millisecond
-	// Events are only this late if this process was stalled.
+	// A timer that is overdue by more than this shows that this process was stalled.
 	stallThreshold = 200 * time.Millisecond
-	// Time that the list source has for each gateway: some dozen requests a second.
+	// Delays of list requests are spread over this time per gateway, so that the list source gets some dozen requests a
+	// second from all gateways together.
 	listPollIntervalPerGateway = 25 * time.Millisecond
 	// First delay after a failed list request, doubled twice; lists are seconds old anyway. Also the interval between
 	// pick requests that no transaction waits for.
 	requestRetryDelay = time.Second
-	// Failures in a row that open a breaker, as in the paper. Also the minimum number of samples for judging a
-	// tenant, and the unanswered picks after which another gateway is tried as coordinator.
+	// Failures in a row that open a breaker, the documented default of the design (docs/design.md). Also the minimum
+	// number of samples for judging a tenant, and the unanswered picks after which another gateway is tried as
+	// coordinator.
 	consecutiveFailuresToOpen = 5
-	// The same for failures by overload: each costs a slot at the host.
+	// The same for failures by overload, of which each costs a slot at the host.
 	consecutiveOverloadsToOpen = 2
-	// A smoothed failure fraction that opens a breaker, beyond the usual one: two or three failures close together.
+	// Smoothed failure fraction, in excess of the usual one, that opens a breaker: two or three failures close together.
 	errorFractionToOpen = 0.25
-	// A host is allowed this multiple of the error fraction at other hosts on top: chance brings any host that far.
+	// The limit is raised by this multiple of the error fraction at other hosts, which any host may reach by chance.
 	usualErrorMultiple = 4.0
-	// Bound on that allowance, so that a host at which nearly every hop fails opens its breaker in any case.
+	// Maximum of that raise, so that the breaker of a host at which nearly every hop fails opens in any case.
 	maxUsualErrorFraction = 0.4
-	// About the last seven outcomes of hops to a host.
+	// EWMA coefficient of failure fractions: covers about the last seven outcomes of hops to a host.
 	failureFractionSmoothing = 0.15
-	// Cooldown after a breaker first opens. A trial costs little, barring a good host much.
+	// Cooldown after a breaker first opens. It is short because a trial costs little and excluding a good host costs much.
 	initialCooldown = 2 * time.Second
-	// Longest cooldown, as in the decision record.
+	// Longest cooldown, the documented default of the design (docs/design.md).
 	maxCooldown = 5 * time.Second
 	// Fraction of the non-idempotent transactions that may be risked on a trial.
 	nonIdempotentTrialFraction = 0.1
-	// Applied to a host's weight after a second with failures or slow answers, as in the decision record.
+	// A host's weight is multiplied by this after a second with failures or slow answers. This value and
+	// slowLatencyMultiple, weightIncrement and maxWeight are the documented defaults of the design (docs/design.md).
 	slowHostWeightFactor = 0.7
-	// Latency relative to the median, well over the mean, that counts as slow, as in the decision record.
+	// Latency, as a multiple of the median over the hosts of a zone, over which a host counts as slow.
 	slowLatencyMultiple = 1.5
-	// Added after a good second, and the minimum weight. The mean weight is 1. As in the decision record.
+	// Added to a host's weight after a good second. Also the minimum weight. The mean weight is 1.
 	weightIncrement = 0.1
-	// Relative to the mean weight, as in the decision record.
+	// Maximum weight, where the mean is 1.
 	maxWeight = 2.0
 	// Hosts are hardly ever twice as fast as the mean.
 	minServiceTimeRatio = 0.5
 	// Hosts are hardly faster than this relative to others of their kind.
 	minServiceTimeRatioToKind = 0.8
-	// About the last ten samples: a host's latency and service time ratio, a tenant's rate.
+	// EWMA coefficient for about the last ten samples, such as a host's latency and service time ratio, or a tenant's
+	// rate.
 	shortTermSmoothing = 0.1
 	// Largest difference between a host's start time as computed by two processes, which read their clocks at
 	// different moments.
 	maxStartTimeSkew = 2 * time.Second
-	// What exceeds the usual level in service time ratios, queueing ratios and reported in-flight counts decays by
-	// this fraction each second: it is gone after about ten.
+	// The excess of service time ratios, queueing ratios and reported in-flight counts over their usual level decays by
+	// this fraction each second, so that after about ten seconds little of it is left.
 	excessDecayPerSecond = 0.2
-	// About the last fifty samples, such as the service time of a profile.
+	// EWMA coefficient for about the last fifty samples, such as the service time of a profile.
 	mediumTermSmoothing = 0.02
-	// Far more samples, for minimum service times: a few short answers are not the minimum.
+	// EWMA coefficient for about the last 200 samples, used for minimum service times: a few short answers do not show
+	// the minimum.
 	longTermSmoothing = 0.005
 	// Queueing ratio (hop time relative to the minimum) from which a zone is sometimes taken as congested.
 	queueingRatioRampStart = 1.25
-	// About the last twenty answers in a zone.
+	// EWMA coefficient of the queueing ratio: covers about the last twenty answers in a zone.
 	queueingRatioSmoothing = 0.05
 	// Queueing ratio from which a zone is always taken as congested.
 	queueingRatioRampEnd = 1.55
 	// Service time of a profile without samples, as a fraction of its service goal.
 	initialServiceTimeGoalFraction = 0.25
-	// Age at which load reports, peer messages and a host's service time ratio no longer say much.
+	// Age at which load reports, peer messages and a host's service time ratio are stale.
 	observationTTL = 2 * time.Second
 	// Number of samples that the usual ratio counts for at a new host.
 	priorServiceTimeRatioSamples = 3.0
-	// Relative rise of a minimum service time, so that an old minimum is forgotten within minutes.
+	// Rise of a minimum service time, as a fraction of it, so that an old minimum loses its effect within minutes.
 	minServiceTimeRisePerSecond = 0.005
 	// The same while congestion of a zone does not end.
 	congestedMinServiceTimeRisePerSecond = 0.02
 	// A timeout counts for the breaker after this multiple of the expected time.
 	overdueServiceTimeMultiple = 2.0
-	// Latencies without any answer, divided by the hops in flight, after which a host is unresponsive.
+	// A host is unresponsive if it has answered nothing for its usual latency times 1 plus this value divided by the
+	// number of hops in flight.
 	unresponsiveLatencyMultiple = 3.0
 	// Expected time, as a fraction of the service goal, from which a zone is near full.
 	nearFullGoalFraction = 0.25
-	// Hops per slot, the new one included, up to which a host is not near full.
+	// Slowdown of a host by its hops in flight, the new one included, up to which it is not near full.
 	nearFullSlowdownThreshold = 2.0
 	// Expected time, as a fraction of the service goal, over which a transaction is rolled back and a zone is full.
 	maxAdmittedGoalFraction = 0.9
@@ -110,7 +116,7 @@
 	outlierMissedGoalMultiple = 2.0
 	// Fraction of the threshold of the higher-earning profile at which the yielding one is rolled back.
 	yieldExpectedTimeFraction = 0.8
-	// Hops per slot over which a host completes no more and only gets slower.
+	// Hops per slot over which a host has no higher throughput and only gets slower.
 	maxHopsPerSlot = 2.2
 	// The same if hosts report their in-flight count.
 	maxHopsPerSlotWithReports = 1.35
@@ -160,9 +166,10 @@
 	linkSuspicionDuration = 20 * time.Second
 	// ... which is this multiple of the expected time.
 	suspectConnectionTimeMultiple = 2.5
-	// Estimated in-flight count that does not affect a pick: affinity saves more.
+	// Estimated in-flight count up to which it does not affect a pick: cached work of the affinity key saves more.
 	ignoredEstimatedInFlight = 4.0
-	// Of the arrival rate: about five seconds.
+	// EWMA coefficient of rates, which are updated once a second, and of the latency of remote picks: covers about the
+	// last five samples.
 	rateSmoothing = 0.2
 	// A streak of errors opens a breaker only if it is less probable than this at the error fraction elsewhere.
 	maxFailureStreakProbability = 0.0001
@@ -180,7 +187,7 @@
 	slowReaderGoalDivisor = 2.5
 	// Slow readers may hold the buffered responses divided by this.
 	slowReaderBufferDivisor = 4
-	// About the last two or three hops to a host.
+	// EWMA coefficient of a host's latency ratio: covers about the last two or three hops to it.
 	latencyRatioSmoothing = 0.5
 	// Hosts stay slow for about this long.
 	latencyRatioDecayTime = 20 * time.Second
@@ -188,21 +195,22 @@
 	latencyRatioWeightExponent = 2.0
 	// Latency ratio that a rejected or unconnected hop counts as.
 	rejectionLatencyRatio = 3.5
-	// Per own hop in flight, which may be stuck, the weight of a host is divided by this more.
+	// The weight of a host is divided by 1 plus this value for each own hop in flight, as such a hop may be stuck.
 	ownInFlightWeightPenalty = 15.0
-	// Smoothing time of a zone's congestion, as short as bursts are.
+	// Time constant of the EWMA of a zone's congestion, as short as bursts are.
 	congestionTimeConstant = time.Second
-	// Per answer, where there are many.
+	// Minimum EWMA coefficient of congestion per answer, which applies where answers are frequent.
 	minCongestionSmoothing = 0.1
-	// Per answer, where there are few.
+	// Maximum EWMA coefficient of congestion per answer, which applies where answers are rare.
 	maxCongestionSmoothing = 0.5
-	// Applied for profiles that earn more than that of the hop: hosts may serve them first.
+	// Factor on that coefficient for profiles that earn more than that of the hop: hosts may serve them first.
 	higherRevenueSmoothingFactor = 0.25
 	// Time constant with which congestion returns to its initial value.
 	congestionDecayTime = 5 * time.Second
-	// Below 1, because the initial service time of a profile is on the high side.
+	// Congestion without samples. It is below 1 because the initial service time of a profile is a high estimate.
 	initialCongestion = 0.6
-	// Part of the excess age of hops in flight that counts as congestion: they may just be long work.
+	// Part of the excess age of hops in flight that counts as congestion. Not all of it does, because these hops may be
+	// long work.
 	lateHopCongestionFraction = 0.35
 	// Few hops take this multiple of their usual time, so the age of a hop in flight is divided by it.
 	lateHopAgeDivisor = 1.7
@@ -214,9 +222,9 @@
 	congestionCallOffRampStart = 0.9
 	// Congestion from which they are called off as early as ever.
 	congestionCallOffRampEnd = 1.55
-	// Of the service goal: when a hop is called off without congestion.
+	// Age, as a multiple of the service goal, at which a hop is called off without congestion.
 	callOffGoalMultiple = 1.2
-	// The same under congestion, for idempotent transactions: such a hop waits behind all others.
+	// The same under congestion, for idempotent transactions: at hosts their hops wait behind all others.
 	congestedCallOffGoalMultipleIdempotent = 0.5
 	// The same for other transactions.
 	congestedCallOffGoalMultiple = 1.0
@@ -226,7 +234,8 @@
 	coldObservedRateFraction = 0.4
 	// A single hop may use at most the budget of a cold host divided by this.
 	coldHopBudgetDivisor = 8.0
-	// Hosts of a zone that a gateway without load information uses: a bad one affects a fifth.
+	// Minimum number of hosts of a zone that a gateway without load information uses, so that one bad host affects at most
+	// a fifth of its transactions.
 	minHostSubset = 5
 	// In-flight count per core up to which a hop finds a free core.
 	spareInFlightPerCore = 0.5
@@ -242,22 +251,23 @@
 	maxShedIntegrationStep = 500 * time.Millisecond
 	// In-flight count per core up to which no traffic leaves its zone.
 	minSpilloverInFlightPerCore = 0.7
-	// A smaller fraction of barred hosts is a problem of these hosts, not of the zone.
+	// Fraction of hosts with an open breaker over which traffic leaves the zone. A smaller fraction is a problem of these
+	// hosts, not of the zone.
 	minBarredFractionToLeaveZone = 0.5
 	// Part of a zone's excess by which more of its traffic leaves with each list.
 	spilloverStepPerList = 0.1
 	// Bound on the part of a zone's traffic that goes to other zones, and on the part that accumulates for shedding.
 	maxDivertedFraction = 0.9
-	// Part of the excess at hosts of a kind by which their weight falls with each list.
+	// Exponent by which the weight of a kind of host changes with each list, per unit of relative excess load.
 	kindWeightStep = 0.1
-	// A sampled host with this multiple of the mean weight is always accepted.
+	// In rejection sampling, a host with this multiple of the mean weight is always accepted.
 	samplingWeightBound = 4.0
-	// Samples by weight before any allowed host is taken.
+	// Rejection samples tried before the first allowed host is taken whatever its weight.
 	maxWeightedSamples = 16
 )
 
 // everySecond runs the periodic work: it expires old reports, probes hosts, adjusts weights and service time ratios,
-// and refills the tenants' tokens. The decision record asks for weights to change this often.
+// and refills the tenants' tokens. That weights change once a second is part of the design (docs/design.md).
 func (b *Balancer) everySecond() {
 	b.schedule(b.now+time.Second, b.everySecond)
 	b.hosts.updateAnswerRates(b.isCold)
@@ -317,7 +327,7 @@
 			b.executor.RequestHostList)
 		return
 	}
-	// New hosts start without a record, but hops in flight still count.
+	// The health of new and restarted hosts starts from its defaults, but their hops in flight still count.
 	for _, host := range b.hosts.merge(kind, hosts, b.isGone) {
 		host.health = health{weight: 1, latencyRatio: 1,
 			serviceTimeRatio: movingAverage{1, priorServiceTimeRatioSamples},
@@ -331,15 +341,17 @@
 	}
 }
 
-// isGone reports whether a host is gone that the list marks as gone or omits. If only draining binds, that proves
-// nothing about whether it runs: a host that was ready stays until failed hops have opened its breaker.
+// isGone reports whether a host that the list marks as gone or omits is to be treated as gone. With
+// DrainRule.AllowGoneHosts the list doesn't show whether a host runs: one that was ready stays until failed hops have
+// opened its breaker.
 func (b *Balancer) isGone(h *host) bool {
 	return !b.drainRule.AllowGoneHosts || h.State != HostReady || h.hostBreaker.open
 }
 
 // withinColdBudget reports whether a cold host may be sent another hop. Each gateway gets an equal part of the host's
-// budget; the fraction of a hop that remains is granted at random, once per window. When a third of the hosts
-// restarted, all gateways had turned to the cold ones, and a hop from each is far over their budget.
+// budget. If that isn't a whole number of hops, the fraction is rounded up or down at random, once per window: when a
+// third of the hosts restarted, all gateways used the cold ones at once, and one hop from each gateway is far over the
+// budget.
 func (b *Balancer) withinColdBudget(h *host, profile int) bool {
 	if !b.isCold(h) {
 		return true
@@ -354,12 +366,13 @@
 	hopsPerNs := max(1, h.kindStats.slots.value) / (serviceTime * serviceTimeRatio)
 	observedHopsPerNs := coldObservedRateFraction * h.kindStats.answersPerSecond.value *
 		float64(b.topology.GatewayCount) / float64(time.Second)
-	hopsPerNs = ternary(b.judgesByZone(), max(hopsPerNs, observedHopsPerNs), hopsPerNs) // warm hosts show a lower bound
+	hopsPerNs = ternary(b.judgesByZone(), max(hopsPerNs, observedHopsPerNs), hopsPerNs) // the answer rate of warm hosts is a lower bound
 	budgetFraction := ternary(b.now < b.coldRule.PredecessorActiveUntil, 1-ownColdBudgetFraction,
 		ownColdBudgetFraction) / float64(b.topology.GatewayCount)
 	budget := capacityFraction * b.coldRule.OverloadMultiple * hopsPerNs * float64(b.coldRule.OverloadDuration)
 	hopLimit, sent := budgetFraction*budget, h.coldHopsSince(b.now-b.coldRule.OverloadDuration)
-	// If this gateway's part of a large budget is below one hop, it is granted one as often as the host is warm.
+	// If this gateway's part of a large budget is below one hop, it may send one with a probability equal to the
+	// capacity fraction that the host has reached.
 	if !b.judgesByZone() && budget >= coldHopBudgetDivisor {
 		return sent < max(1, int(hopLimit)) && (hopLimit >= 1 || b.random.uniform() < capacityFraction)
 	}
@@ -371,10 +384,10 @@
 // Host health: breakers, latency and weight.
 
 // record counts the outcome of a hop and reports whether the breaker opened or closed. errorSample is 1 for an error
-// and else 0, errorLimit the smoothed error fraction that opens the breaker, and jitter a random number in [0, 1). A
+// and otherwise 0, errorLimit the smoothed error fraction that opens the breaker, and jitter a random number in [0, 1). A
 // streak of failures opens it only if it is improbable at errorFractionElsewhere. The error fraction counts as well,
 // since a host that fails half of its hops may never fail five times in a row. Only the answer to a trial closes an
-// open breaker: late answers to earlier hops prove nothing.
+// open breaker, because late answers to earlier hops don't show that the host has recovered.
 func (br *breaker) record(failed, overloaded bool, errorSample, errorLimit, errorFractionElsewhere float64,
 	now time.Duration, jitter float64) bool {
 	wasOpen := br.open
@@ -405,7 +418,7 @@
 // unresponsive reports whether a host has answered nothing for far longer than its hops in flight explain. It gets no
 // hops then.
 func (b *Balancer) unresponsive(h *host) bool {
-	// A coordinator hears of all answers.
+	// A coordinator learns of the answers to the hops of all gateways.
 	inFlight := ternary(b.coordinating && b.picksFor(h.group), h.ownInFlight+h.peersInFlight, h.ownInFlight)
 	return inFlight > 0 && h.latency.samples > 0 && float64(b.now-h.unansweredSince) >
 		h.latency.value*(1+unresponsiveLatencyMultiple/float64(inFlight))
@@ -435,7 +448,7 @@
 			b.now, true
 		h.latency.add(took, shortTermSmoothing)
 		if slowdown == 1 || h.kindStats.concurrencyLimit() > 0 || !b.slotsUnknown(h) {
-			// Some hops that wait must not bar all others.
+			// A few hops that wait at hosts must not get all others rejected.
 			maxTime := min(overdueServiceTimeMultiple*serviceTime.value, float64(b.profiles[profile].ServiceGoal))
 			uncontendedTime := took / slowdown / h.serviceTimeRatio.value
 			uncontendedTime = ternary(b.sources.PeersShareInFlight && serviceTime.samples*mediumTermSmoothing >= 1,
@@ -457,7 +470,7 @@
 	}
 	overloaded := b.probesOnly() && failed && !profileOnly && (late || result.Outcome == HopHostFull)
 	h.kindStats.overloaded = h.kindStats.overloaded || overloaded
-	if result.Outcome != HopCommitted && !failed { // proves nothing about the host: another trial is needed
+	if result.Outcome != HopCommitted && !failed { // says nothing about the host: another trial is needed
 		h.hostBreaker.onTrial, h.profileBreakers[profile].onTrial = false, false
 		return
 	}
@@ -485,7 +498,7 @@
 
 // onlyProfileFails reports whether one more failure would show that a profile fails at this host alone, while other
 // profiles are answered here and the profile is answered at other hosts. The failure then says nothing about the host
-// in general, and only the profile is barred from it.
+// in general, and only the breaker of the profile opens.
 func (b *Balancer) onlyProfileFails(h *host, profile int) bool {
 	failing, elsewhere := &h.profileBreakers[profile],
 		b.hosts.referenceFailureFraction(h, profile, h.profileBreakers[profile].streakSince)
@@ -499,8 +512,9 @@
 	return max(h.serviceTimeRatio.value, minServiceTimeRatioToKind*h.kindStats.serviceTimeRatio.value)
 }
 
-// adjustWeights changes the weights of the hosts of a zone once a second, as the decision record describes. It keeps
-// their mean at 1, which is also the weight of a new host.
+// adjustWeights changes the weights of the hosts of a zone once a second: it multiplies the weight of a failing or slow
+// host by slowHostWeightFactor and adds weightIncrement to that of any other. It keeps their mean at 1, which is also
+// the weight of a new host.
 func adjustWeights(hosts []*host) {
 	median, sum := medianLatency(hosts), 0.0
 	for _, h := range hosts {
@@ -520,14 +534,14 @@
 // core. If the number of slots is unknown it assumes the mean between one slot and a slot for each hop.
 func (h *host) slowdown(hops float64) float64 {
 	if limit := h.kindStats.concurrencyLimit(); limit > 0 {
-		return math.Cbrt(1 + math.Pow(hops/limit, 3)) // the cores get used more and more evenly
+		return math.Cbrt(1 + math.Pow(hops/limit, 3)) // the more hops, the more evenly the cores are used
 	}
 	slots := h.kindStats.slots.value
 	return ternary(slots == 0, (hops+1)/2, max(1, hops/max(1, slots)))
 }
 
 // slotsUnknown reports whether the number of slots of a host is only a guess. No transaction may be rolled back
-// because of it: that had happened to those at the start of a run.
+// because of it, or the first ones after the start would be.
 func (b *Balancer) slotsUnknown(h *host) bool {
 	return b.sources.ProbesReportLoad && h.kindStats.slots.samples == 0 && !h.kindStats.overloaded
 }
@@ -538,7 +552,7 @@
 }
 
 // randomlyOverRamp reports whether value is over a threshold drawn at random between rampStart and rampEnd. With one
-// threshold for all gateways hosts would be idle and overloaded by turns.
+// threshold for all gateways hosts would be idle and overloaded alternately.
 func (b *Balancer) randomlyOverRamp(value, rampStart, rampEnd float64) bool {
 	return value >= rampStart && rampStart+b.random.uniform()*(rampEnd-rampStart) < value
 }
@@ -551,7 +565,7 @@
 }
 
 // chooseHost returns the host for a hop, nil if there is none, and the expected time in nanoseconds. It takes the own
-// zone unless that is near full, and else the zone with the lowest expected time; the more crossing zones costs, the
+// zone unless that is near full, and otherwise the zone with the lowest expected time; the more crossing zones costs, the
 // more it prefers the own. If all breakers are open, any host that the transaction may run on will do.
 func (b *Balancer) chooseHost(t *tx) (pick *host, expected float64) {
 	if b.judgesByZone() {
@@ -672,7 +686,7 @@
 		home.spilloverFraction+spilloverStepPerList*(home.reportedInFlight.value/minInFlight-1)), maxDivertedFraction)
 }
 
-// relativeCapacity returns the nominal capacity of a host relative to the largest one, 1 if the list doesn't tell it.
+// relativeCapacity returns the nominal capacity of a host relative to the largest one, 1 if the list doesn't contain it.
 func (b *Balancer) relativeCapacity(h *host) float64 {
 	return ternary(b.sources.CapacityHints == NominalCapacity && h.CapacityHint > 0,
 		h.CapacityHint/b.hosts.maxCapacityHint, 1)
@@ -706,7 +720,7 @@
 	return nil
 }
 
-// firstGroup returns the zone to try first: the own one. If most hosts of its subset are barred by breakers, a
+// firstGroup returns the zone to try first: the own one. If most hosts of its subset have an open breaker, a
 // gateway without load information tries the least congested other zone instead, for the same fraction of its
 // transactions.
 func (b *Balancer) firstGroup(t *tx) *zoneGroup {
@@ -795,15 +809,16 @@
 // Admission.
 
 // admissionThreshold returns the expected time, in nanoseconds, over which a transaction of a profile is rolled back
-// on arrival. A profile yields to profiles that earn more for the same work, unless those would be rolled back even
-// at an idle host: then all profiles would be rolled back with them.
+// on arrival. A profile yields to profiles that earn more for the same work: its threshold, relative to the service
+// time, is lower than theirs. It doesn't yield to those that would be rolled back even at an idle host, or it would be
+// rolled back with them.
 func (b *Balancer) admissionThreshold(profile int) float64 {
 	// This gateway sees only its own hops; the more gateways a zone has, the more others are at a host.
 	ownHopsPerSlot := 1 +
 		(maxHopsPerSlot-1)/math.Sqrt(max(1, float64(b.topology.GatewayCount)/float64(len(b.hosts.groups))))
 	hopsPerSlot := ternary(b.fewGatewaysWithoutReports(), ownHopsPerSlot,
 		ternary(b.hostsReportInFlight(), maxHopsPerSlotWithReports, maxHopsPerSlot))
-	// Relative to the service time.
+	// Returns the threshold relative to the service time.
 	slowdownLimit := func(i int) float64 {
 		return min(b.maxWorthwhileTime(i), hopsPerSlot*b.minServiceTime[i]) / b.serviceTime[i].value
 	}
@@ -900,7 +915,7 @@
 }
 
 // pickAdmitted returns the host for a new transaction, nil if it is to be rolled back. A host or profile that has had
-// no answer for long is tried nevertheless, or the profile would stay barred for as long as others are answered.
+// no answer for long is tried nevertheless, or the profile would stay rejected for as long as others are answered.
 //
 // Reports of low in-flight counts must not let in a whole burst at once, so little more is admitted than recently.
 func (b *Balancer) pickAdmitted(t *tx) *host {
@@ -940,7 +955,7 @@
 
 // shedsForCongestion reports, with some randomness, whether a transaction is rolled back because of the congestion of
 // a zone. What is known of another zone is little and old: with live capacities congestion of the own zone counts as
-// well, or all gateways would try the other zones by turns.
+// well, or all gateways would move from one zone to the next together.
 func (b *Balancer) shedsForCongestion(t *tx, g *zoneGroup) bool {
 	if b.hasNoLoadInfo() {
 		return b.randomlyOverRamp(b.congestion(g, t.profile), congestionShedRampStart, congestionShedRampEnd)
@@ -958,7 +973,7 @@
 }
 
 // shedProbability returns the fraction of a zone's transactions to roll back, by proportional-integral control of its
-// excess load. Because lists are late, the current excess alone would close and flood zones by turns.
+// excess load. Because lists are late, control by the current excess alone would alternately empty and overload zones.
 func (b *Balancer) shedProbability(g *zoneGroup, excess float64) float64 {
 	elapsed := min(b.now-g.shedUpdatedAt, maxShedIntegrationStep)
 	g.shedFraction = min(max(0, g.shedFraction+shedIntegralGainPerSecond*min(excess, 1)*elapsed.Seconds()),
@@ -1045,7 +1060,7 @@
 }
 
 // hopTimeout returns the timeout of a hop and, if its connection was unused for so long that it may have been
-// dropped, for how long it was unused, else 0.
+// dropped, for how long it was unused, otherwise 0.
 func (b *Balancer) hopTimeout(t *tx, h *host) (wait, idle time.Duration) {
 	wait, idle = t.deadline-b.now, b.now-h.lastUsedAt
 	if !b.costModel.OpenConnections || h.lastUsedAt == 0 || idle < suspectConnectionIdleTime || h.ownInFlight > 1 {
@@ -1098,7 +1113,7 @@
 }
 
 // finishTransaction ends a transaction that no host has committed. It is rolled back only if it can have had no
-// lasting effect, and else abandoned.
+// lasting effect, and otherwise abandoned.
 func (b *Balancer) finishTransaction(t *tx) {
 	if t.profileConfig.Effect == Idempotent || t.possiblyRunHop() == nil ||
 		t.profileConfig.Effect == Deduplicated && t.profileConfig.DedupScope == DedupAllHosts {
@@ -1109,8 +1124,8 @@
 	b.settleTransaction(t)
 }
 
-// HopEnded implements Core. It judges the host by the outcome, unless that tells about this gateway, the client or
-// the tenant rather than the host, and then retries or ends the transaction.
+// HopEnded implements Core. It records the outcome for the host, unless the cause lies with this gateway, the client or
+// the tenant, and then retries or ends the transaction.
 func (b *Balancer) HopEnded(now time.Duration, id TxID, hopIndex int, result HopResult, txAnswered bool) {
 	b.beginCall(now)
 	t, hop := b.openHop(id, hopIndex)
@@ -1144,7 +1159,7 @@
 		hop.host.unsentOutcomes = append(hop.host.unsentOutcomes,
 			PeerEntry{EntryHopEnded, hop.host.ID, int(hop.hostInFlight), t.profile, result.Outcome, result.Latency})
 	}
-	// Else it tells about this gateway, a client or a tenant.
+	// Other outcomes are caused by this gateway, a client or a tenant, and say nothing about the host.
 	if hop.sentAt >= b.lastStallEnd && !tenantOnly && !b.isReadSlowly(t, hop) {
 		b.recordOutcome(hop.host, hop.hostInFlight, t.profile, result)
 	}
--- a/logic/state.go
+++ b/logic/state.go
@@ -36,7 +36,7 @@
 	serviceTime         []movingAverage // by profile: time of a hop, in ns, at a host of ratio 1 with a free core
 	longTermServiceTime []movingAverage // the same, smoothed over far more answers
 	minServiceTime      []float64       // by profile: least recent service time, in ns, as when hosts are idle
-	previousSamples     []float64       // by profile: samples of serviceTime one second ago
+	previousSamples     []float64       // by profile: number of samples in serviceTime at the last periodic update
 	retryUsage          []retryUsage    // by profile
 	lastAnsweredAt      []time.Duration // by profile: when a hop last succeeded
 	slowReaders         int             // transactions whose clients read their answers slowly
@@ -64,7 +64,7 @@
 type pendingPick struct {
 	tx      *tx
 	sentAt  time.Duration
-	txWaits bool // the transaction waits for the response; else it was started without
+	txWaits bool // the transaction waits for the response; otherwise it was started without it
 }
 
 // New returns the Balancer of one gateway. All of its random choices derive from seed.
@@ -206,8 +206,8 @@
 	}
 }
 
-// markUnsent has the state of a host sent to peers, together with all that changes within peerMessageDelay. It accepts
-// nil.
+// markUnsent schedules the state of a host for sending to peers, in one message with all that changes within
+// peerMessageDelay. It does nothing if h is nil.
 func (b *Balancer) markUnsent(h *host) {
 	if b.sources.PeersShareInFlight && h != nil && !h.unsent {
 		h.unsent = true
@@ -217,7 +217,7 @@
 	}
 }
 
-// markForResend has the in-flight count of a host sent once more, as messages may be lost.
+// markForResend schedules the in-flight count of a host for sending once more, as messages may be lost.
 func (b *Balancer) markForResend(h *host) {
 	if h.ownInFlight > 0 || h.resend {
 		b.markUnsent(h)
@@ -332,14 +332,14 @@
 	b.pendingPicks = slices.Delete(b.pendingPicks, i, i+1)
 	b.remotePickLatency.add(float64(b.now-pending.sentAt), rateSmoothing)
 	home, missed := pending.tx.homeGroup, 1
-	// One that nobody waits for stands for the transactions of its second that sent no request.
+	// A request that no transaction waits for counts several times, as it is the only one of its second.
 	if !pending.txWaits && b.consecutiveUnansweredPicks < unansweredPicksToSuspectIsolation {
 		missed = consecutiveFailuresToOpen
 	}
 	home.recordUnanswered(missed, ternary(b.consecutiveUnansweredPicks < unansweredPicksToSuspectIsolation,
 		consecutiveFailuresToOpen, 2*consecutiveFailuresToOpen))
 	before := b.consecutiveUnansweredPicks
-	// Back to the first coordinator, so that all gateways turn to the same one once messages get through again.
+	// Back to the first coordinator, so that all gateways use the same one once messages get through again.
 	if b.consecutiveUnansweredPicks += missed; before < unansweredPicksToSuspectIsolation &&
 		b.consecutiveUnansweredPicks >= unansweredPicksToSuspectIsolation {
 		home.skippedCoordinators, home.consecutiveUnanswered = 0, 0
@@ -353,7 +353,7 @@
 // coordinator picked none, and is started without the response where that host is no longer usable.
 func (b *Balancer) remotePickAnswered(from int, response PeerEntry, h *host) {
 	b.hosts.ownGroup().consecutiveUnanswered, b.consecutiveUnansweredPicks = 0, 0
-	b.markUnsent(h) // else a pick that came too late, or is not used, would stay counted as in flight
+	b.markUnsent(h) // otherwise a pick that came too late, or is not used, would stay counted as in flight
 	pending := b.takePendingPick(response.Profile)
 	if pending == nil {
 		return
@@ -374,7 +374,7 @@
 	}
 }
 
-// PeerMessageReceived takes in the entries of a message in their order.
+// PeerMessageReceived processes the entries of a message in order.
 func (b *Balancer) PeerMessageReceived(now time.Duration, from int, entries []PeerEntry) {
 	b.beginCall(now)
 	for _, entry := range entries {
@@ -426,8 +426,8 @@
 	return pending
 }
 
-// manyGatewaysWithoutPeerMessages reports whether this is one of many gateways (more than maxIndependentGateways) that exchange
-// no peer messages: they know each other's load only from what hosts report.
+// manyGatewaysWithoutPeerMessages reports whether this is one of many gateways (more than maxIndependentGateways) that
+// exchange no peer messages: they know each other's load only from what hosts report.
 func (b *Balancer) manyGatewaysWithoutPeerMessages() bool {
 	return !b.sources.PeersShareInFlight && b.topology.GatewayCount > maxIndependentGateways
 }
@@ -467,7 +467,7 @@
 		!b.judgesByZone()
 }
 
-// recordLatencyRatio takes in the latency of a hop, relative to that at an idle host, for the host and its zone. For
+// recordLatencyRatio records the latency of a hop, relative to that at an idle host, for the host and its zone. For
 // profiles that earn no more than this one it counts in full. For those that earn more it counts less, as hosts may
 // serve them first.
 func (b *Balancer) recordLatencyRatio(h *host, profile int, result HopResult, hostHangs bool) {
@@ -569,7 +569,7 @@
 	}
 }
 
-// recordLoadReport takes in a load report of a host. It counts for the whole zone too, as one of many gateways gets few
+// recordLoadReport records a load report of a host. It counts for the whole zone too, as one of many gateways gets few
 // from each host.
 func (b *Balancer) recordLoadReport(h *host, load LoadReport) {
 	steady := h.utilizationAt > 0 && b.now-h.utilizationAt < observationTTL &&
@@ -617,7 +617,7 @@
 	b.markUnsent(hop.host)
 }
 
-// ResponseStarted ends the decisions on a transaction: its final answer is on its way.
+// ResponseStarted ends the decisions on a transaction, because its final answer is being sent.
 func (b *Balancer) ResponseStarted(now time.Duration, id TxID, _ int) {
 	b.beginCall(now)
 	if t := b.txs[id]; t != nil {
@@ -625,7 +625,7 @@
 	}
 }
 
-// ClientLeft ends a transaction whose answer nobody waits for.
+// ClientLeft ends a transaction whose client no longer waits for the answer.
 func (b *Balancer) ClientLeft(now time.Duration, id TxID) {
 	b.beginCall(now)
 	if t := b.txs[id]; t != nil {
@@ -660,7 +660,7 @@
 	return time.Duration(b.random.uniform() * float64(maxDelay))
 }
 
-// ProbeEnded takes in the load that a host reports.
+// ProbeEnded records the load that a host reported to a probe.
 func (b *Balancer) ProbeEnded(now time.Duration, id HostID, load LoadReport) {
 	b.beginCall(now)
 	switch h := b.hosts.byID[id]; {
@@ -735,7 +735,7 @@
 	}
 }
 
-// schedule has a function run at a time. One timer serves all: it is set for the first.
+// schedule runs a function at the given time. One timer serves all functions: it is set for the first.
 func (b *Balancer) schedule(at time.Duration, run func()) {
 	b.timers.add(at, run)
 	b.timers.arm(b.now, b.executor.SetTimer)
@@ -864,7 +864,7 @@
 	return ternary(t.rankSeed == 0, &randomSource{}, &randomSource{t.rankSeed, uint32(id)}).uniform()
 }
 
-// merge takes in a host list, or the changes to it, and returns the hosts that are new or have started again. The
+// merge applies a host list, or the changes to it, and returns the hosts that are new or have started again. The
 // function isGone decides on hosts that the list leaves out or calls gone.
 func (t *hostTable) merge(kind ListKind, listed []Host, isGone func(*host) bool) (added []*host) {
 	if kind != ListCached {
@@ -929,7 +929,7 @@
 	return overall
 }
 
-// updateAnswerRates takes in, by kind, how many answers this gateway got from a warm host within the last second.
+// updateAnswerRates updates, by kind, how many answers this gateway got from a warm host within the last second.
 func (t *hostTable) updateAnswerRates(isCold func(*host) bool) {
 	for _, stats := range t.kinds { // the order does not matter
 		if stats.warmHosts > 0 {
@@ -1055,15 +1055,15 @@
 	latency             movingAverage // of answers, queueing included, in ns
 	utilization         float64       // as last reported
 	utilizationAt       time.Duration // when that came, 0 for never
-	lastProbedAt        time.Duration // for want of a recent report
+	lastProbedAt        time.Duration // when it was last probed because there was no recent report
 	reportedInFlight    float64       // hops of others as last reported; with live capacity hints all hops per core
 	reportedInFlightAt  time.Duration // when a host reported it, 0 for never or too long ago
 	latencyRatio        float64       // recent latency of hops relative to that at an idle host
-	latencyRatioAt      time.Duration // when that was updated
+	latencyRatioAt      time.Duration // when latencyRatio was last updated
 	estimatedInFlight   float64       // hops queued or worked on, from its reported queue, rate and latency
 	estimatedInFlightAt time.Duration // when that report came, 0 for never
 	spreadFactor        float64       // factor on the weight until the next list, with live capacity hints
-	serviceTimeRatioAt  time.Duration // when an answer or timeout last said something of that ratio
+	serviceTimeRatioAt  time.Duration // when serviceTimeRatio was last updated by an answer or timeout
 	unansweredSince     time.Duration // the later of the last answer and the first of the hops in flight
 	hostBreaker         breaker       // for all profiles
 	profileBreakers     []breaker     // by profile
@@ -1074,8 +1074,9 @@
 	return []*breaker{&h.hostBreaker, &h.profileBreakers[profile]}
 }
 
-// recordReportedLoad takes in the utilization of a host and the slots of its kind: with hops queued it works on the
-// others in flight, and without any it has at least as many slots as hops.
+// recordReportedLoad records the reported utilization of a host and the number of slots that the report shows for its
+// kind. If hops are queued, all slots are in use: their number is that of the hops in flight that aren't queued. If none
+// are, there are at least as many slots as hops in flight.
 func (h *host) recordReportedLoad(load LoadReport, now time.Duration) {
 	if load.Utilization >= 0 {
 		h.utilization, h.utilizationAt = load.Utilization, now
@@ -1093,8 +1094,8 @@
 	return ternary(s.lowLoadUtilization.samples > 0, s.lowLoadInFlight.value/s.lowLoadUtilization.value, 0)
 }
 
-// recordReportedInFlight takes in the hops of other gateways at a host, and, for the concurrency limit of its kind, its
-// hops in flight and utilization. The latter only while utilization is steady: it covers a span of time, and the hops in
+// recordReportedInFlight records the hops of other gateways at a host, and, for the concurrency limit of its kind, its
+// hops in flight and utilization. These count only while utilization is steady: it covers a span of time, and the hops in
 // flight are those at its end. At the start of a day's traffic the limit otherwise came out at three to six times its
 // value, and hosts were overloaded in the first second.
 func (h *host) recordReportedInFlight(load LoadReport, steady bool, now time.Duration) {
@@ -1114,7 +1115,7 @@
 	}
 }
 
-// recordServiceTimeRatio takes in the service time of a hop, relative to the usual one of its profile, for the host and
+// recordServiceTimeRatio records the service time of a hop, relative to the usual one of its profile, for the host and
 // its kind.
 func (h *host) recordServiceTimeRatio(ratio float64) {
 	h.kindStats.serviceTimeRatio.add(ratio, mediumTermSmoothing)
@@ -1150,7 +1151,7 @@
 			typical, smoothing = b.longTermServiceTime[i], longTermSmoothing
 		}
 		switch {
-		case typical.samples == 0: // else a profile that is never answered would yield to none, and all others to it
+		case typical.samples == 0: // otherwise a profile that is never answered would yield to none, and all others to it
 		case typical.samples*smoothing < 1 && !b.sources.PeersShareInFlight &&
 			(useLongTerm || typical.value >= b.minServiceTime[i]): // the first samples may come from congestion
 			b.minServiceTime[i] = min(typical.value, initialServiceTimeGoalFraction*float64(b.profiles[i].ServiceGoal))
@@ -1290,7 +1291,7 @@
 func (r *retryUsage) countTransaction(now, span time.Duration) { r.transactions.add(now, span) }
 func (r *retryUsage) countRetry(now, span time.Duration)       { r.retries.add(now, span) }
 
-// slotsPerWindow is the resolution of a sliding window: counts leave it by a twentieth of the span at a time.
+// slotsPerWindow is the number of equal parts of a slidingWindow's span: counts expire one slot at a time.
 const slotsPerWindow = 20
 
 // slidingWindow counts events within the last span, by slots. There is one slot more than the span has, as the oldest
@@ -1452,7 +1453,7 @@
 	onFailure      func() // called when it has ended without an answer: retries or finishes
 }
 
-// settleTransaction ends the decisions on a transaction and forgets it once no hop is in flight. One that every host
+// settleTransaction ends the decisions on a transaction and deletes it once no hop is in flight. One that every host
 // answered with an error does not count towards its tenant's share, as it is hardly any work.
 func (b *Balancer) settleTransaction(t *tx) {
 	for i := range t.hops {
--- a/logic/types.go
+++ b/logic/types.go
@@ -23,8 +23,8 @@
 	HostListReceived(now time.Duration, kind ListKind, hosts []Host)
 	// TransactionReceived accepts a transaction. It gets exactly one final answer within its budget.
 	TransactionReceived(now time.Duration, id TxID, arrival Arrival)
-	// HopEnded reports the outcome of a hop, exactly once per hop. txAnswered tells that the transaction has its
-	// final answer.
+	// HopEnded reports the outcome of a hop, exactly once per hop. txAnswered reports whether the transaction
+	// has its final answer.
 	HopEnded(now time.Duration, id TxID, hopIndex int, result HopResult, txAnswered bool)
 	// HopBodySent reports that the last byte of a hop's request has been sent, for a transaction that arrived with
 	// its body pending. The hop's times are measured from now, and only from now on does it count as load on its host.
@@ -135,7 +135,7 @@
 	Latency  time.Duration // of the ended hop; with EntryAggregate what a hop of profile 0 takes at Host when it is idle
 }
 
-// PeerEntryKind tells what a PeerEntry means. The values are sent over the wire.
+// PeerEntryKind is the type of a PeerEntry. The values are sent over the wire.
 type PeerEntryKind int
 
 const (
@@ -146,7 +146,7 @@
 	EntryPickResponse                      // the host picked, 0 if the transaction should be rolled back
 )
 
-// ListKind tells how a host list is to be applied.
+// ListKind specifies how a host list is to be applied.
 type ListKind int
 
 const (
@@ -172,11 +172,11 @@
 	Kind         string // hosts of the same kind are expected to perform alike
 	Cell         int
 	State        HostState
-	CapacityHint float64       // relative to other hosts only; InformationSources.CapacityHints tells what it measures
+	CapacityHint float64       // relative to other hosts only; see InformationSources.CapacityHints
 	StartedAt    time.Duration // 0 if the host has been running for long
 }
 
-// Effect tells whether a transaction may run more than once.
+// Effect specifies whether a transaction may run more than once.
 type Effect int
 
 const (
@@ -185,7 +185,7 @@
 	NonIdempotent        // must not run twice
 )
 
-// DedupScope tells which hosts drop a repeat of a journalled transaction.
+// DedupScope specifies which hosts drop a repeat of a deduplicated transaction.
 type DedupScope int
 
 const (
@@ -234,7 +234,7 @@
 	HopNotRun // not sent, or declined in a way that says nothing about the host
 )
 
-// NeverRan reports whether the outcome proves that the hop had no effect.
+// NeverRan reports whether a hop with this outcome is known to have had no effect.
 func (o HopOutcome) NeverRan() bool {
 	return o == HopHostFull || o == HopNoConnection || o == HopNotRun
 }
@@ -288,14 +288,14 @@
 	Window                time.Duration
 }
 
-// DrainRule tells how to treat draining and gone hosts. Whatever it says, nothing is sent to them during the drain
-// grace.
+// DrainRule specifies how to treat draining hosts and hosts that are gone from the list. Whatever it specifies,
+// nothing is sent to them during the drain grace.
 type DrainRule struct {
 	CloseIdleConnections bool // close idle connections to a draining host: immediately, so within any configured limit
 	AllowGoneHosts       bool // hosts that left the list without draining may still be sent to
 }
 
-// CapacityHintKind tells what the capacity hints in the host list measure.
+// CapacityHintKind specifies what the capacity hints in the host list measure.
 type CapacityHintKind int
 
 const (
@@ -304,7 +304,7 @@
 	LiveCapacity                     // nominal capacity divided by 1 + in-flight hops per core, as of some time ago
 )
 
-// InformationSources tells what a gateway learns besides the outcomes of its own hops.
+// InformationSources specifies what a gateway learns besides the outcomes of its own hops.
 type InformationSources struct {
 	ProbesReportLoad        bool // hosts report their load when probed
 	ResponsesReportInFlight bool // responses carry the host's in-flight count and utilization
@@ -315,14 +315,14 @@
 	MaxListPollInterval     time.Duration // longest time between requests for the list, 0 if changes are pushed
 }
 
-// CostModel tells what costs revenue, besides the revenue that the transactions themselves earn or miss.
+// CostModel specifies what costs revenue, besides the revenue that the transactions themselves earn or miss.
 type CostModel struct {
 	CrossZoneHop    float64 // cost of a hop into another zone, as a fraction of the mean revenue of a transaction
 	RevenueByWork   bool    // Profile.Revenue is per unit of work
 	OpenConnections bool    // each open connection costs
 	MissedGoals     bool    // missed service goals cost extra; transactions rolled back early don't count as missed
 
-	// AvailabilityNines is over how many powers of ten, from 1 downwards, the fraction of unserved transactions costs
-	// revenue, rollbacks included. 0 if it doesn't.
+	// AvailabilityNines is set if the fraction of unserved transactions, rollbacks included, costs revenue by its power
+	// of ten, and is the number of powers that count: with 3 it costs least at 0.001 and below. Otherwise it is 0.
 	AvailabilityNines float64
 }
