--- a/logic/bench_test.go
+++ b/logic/bench_test.go
@@ -9,8 +9,8 @@
 )
 
 // BenchmarkDecision measures one transaction from its arrival to its end, by the number of hosts and by what is known
-// of them. With 250 hosts and a list that changes twice a second it had taken 22 us, as each pick weighed all hosts and
-// each list sorted them.
+// of them. With 250 hosts and a list that changes twice a second it had taken 22 us, as each pick computed
+// the weights of all hosts and each list sorted them.
 func BenchmarkDecision(b *testing.B) {
 	for _, scenario := range []struct {
 		name    string
--- a/logic/idlehost_test.go
+++ b/logic/idlehost_test.go
@@ -35,8 +35,9 @@
 }
 
 // Hosts of a kind that reports no load, next to others that do, always counted as full, because their hops in flight
-// were divided by a concurrency limit of zero. They got one hop of 538 and the reporting host all others (on seven of
-// nine random harmless days with such hosts gateways gave up early). They are now used as much as any.
+// were divided by a concurrency limit of zero. They got one hop of 538 and the reporting host all others (in seven of
+// nine random simulated days without faults but with such hosts, gateways gave up transactions early). They are now
+// used as much as any.
 func Example_hostKindWithoutReports() {
 	hosts := []logic.Host{readyHost(1, "a", 1), readyHost(2, "a", 1), readyHost(3, "a", 1)}
 	hosts[1].Kind, hosts[2].Kind = "crate", "crate"
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -29,7 +29,7 @@
 	// 1000 tx 2 abandoned
 }
 
-// A journalled transaction that may have run is retried only at hosts that drop its repeats, here those of the same
+// A deduplicated transaction that may have run is retried only at hosts that drop its repeats, here those of the same
 // cell, and only within its deduplication window.
 func Example_deduplicated() {
 	gw := startGateway([]logic.Profile{orderProfile}, nil, readyHost(1, "a", 1), readyHost(2, "a", 2),
@@ -49,8 +49,8 @@
 	// 1299 tx 3 abandoned
 }
 
-// At the start the number of slots of a host is a guess: no transaction is rejected by it, and no service time is
-// learned by it. As hops accumulate there the host is probed, and what its report shows counts from then on.
+// At the start the number of slots of a host is a guess: no transaction is rejected and no service time is learned
+// because of it. As hops accumulate there the host is probed, and what its report shows counts from then on.
 func Example_slotsUnknown() {
 	gw := startGatewayAmong(2, 0, logic.InformationSources{ProbesReportLoad: true}, []logic.Profile{readProfile}, nil,
 		readyHost(1, "a", 1))
@@ -114,8 +114,8 @@
 }
 
 // Where DrainRule.CloseIdleConnections is set, connections to a draining host are closed: idle ones when the list
-// arrives, the others as they become idle, that is when a hop or a probe there ends. Left open for half a second, they
-// broke that rule (runs rough-1 and rules-4 of one deployment).
+// arrives, the others as they become idle, that is when a hop or a probe there ends. They had been left
+// open for half a second, longer than the rule allows (simulated days rough-1 and rules-4 of one deployment).
 func Example_drainClosesIdleConnections() {
 	for _, closeIdle := range []bool{true, false} {
 		gw := startGatewayWithRules(2, 0, logic.InformationSources{ProbesReportLoad: true}, logic.CostModel{},
@@ -163,7 +163,7 @@
 	// second 1 hops: map[1:9 2:7]
 }
 
-// Many gateways that know the load from live capacity hints: when most hosts stalled at once, all of them turned to a
+// Many gateways that know the load from live capacity hints: when most hosts stalled at once, all of them picked a
 // cold host, which had little in flight, and sent it 4.9 times what it could do. Now only a few gateways, chosen at
 // random, may send it one hop per window.
 func Example_coldHostWithLiveCapacityHints() {
@@ -239,7 +239,8 @@
 	// [204 206 195 198 197]
 }
 
-// A host that fails half of its orders but answers all reads is barred for orders only. A successful trial readmits it.
+// A host that fails half of its orders but answers all reads gets no more orders, but still gets reads. After a
+// successful trial it gets orders again.
 func Example_breakerForOneProfile() {
 	gw := startGateway([]logic.Profile{readProfile, orderProfile}, nil, readyHost(1, "a", 1))
 	for id := 200; id < 216; id += 2 {
@@ -265,7 +266,8 @@
 	// 5140 log: host 1, order: breaker open false
 }
 
-// Where a quarter of the hops fail at every host, breakers stop opening once that is known.
+// Where a quarter of the hops fail at every host, breakers stop opening once the gateway has learned that error
+// fraction.
 func Example_errorsEverywhere() {
 	gw := startGateway([]logic.Profile{paymentProfile}, nil, readyHost(1, "a", 1), readyHost(2, "a", 1))
 	gw.quiet = true
@@ -280,7 +282,7 @@
 }
 
 // Where one hop in fourteen fails at all hosts alike, as when responses are corrupted or connections are reset, errors
-// close together are chance and open no breaker. A host that fails all of its hops is barred as before.
+// close together are chance and open no breaker. The breaker of a host that fails all of its hops opens as before.
 func Example_randomErrors() {
 	gw := startGateway([]logic.Profile{paymentProfile}, nil, readyHost(1, "a", 1), readyHost(2, "a", 1),
 		readyHost(3, "a", 1), readyHost(4, "a", 1))
@@ -324,7 +326,7 @@
 }()
 
 // One of many gateways requests picks from the coordinator of its zone, sends it the outcomes of hops, and picks by
-// itself where no response comes. After five requests without a response it turns to the next coordinator.
+// itself where no response comes. After five requests without a response it uses the next coordinator.
 func Example_remotePick() {
 	gw := startGatewayAmong(100, 9, logic.InformationSources{PeersShareInFlight: true},
 		[]logic.Profile{longGoalReadProfile}, nil, readyHost(1, "a", 1), readyHost(2, "a", 1))
@@ -501,7 +503,7 @@
 	// 20.86s map[1:267 2:53]
 }
 
-// A host that rejects a profile as full while it answers others is barred for that profile.
+// A host that rejects a profile as full while it answers others gets no more hops of that profile.
 func Example_fullForOneProfile() {
 	gw := startGateway([]logic.Profile{readProfile, orderProfile}, nil, readyHost(1, "a", 1))
 	for id := range 3 {
@@ -860,9 +862,10 @@
 	// 6300 tx 51 rolled back, retry after 60
 }
 
-// Live capacity hints tell all gateways the same about what hosts had in flight some time ago. If each took the least
-// loaded hosts alone, these would be overloaded by turns, so differences are evened out instead. A kind of host with
-// more in flight goes on getting less, and a zone with more in flight than the mean sends part of its traffic away.
+// Live capacity hints show all gateways the same in-flight counts, as of some time ago. If each gateway used only the
+// least loaded hosts, one host after the other would be overloaded, so differences are evened out instead. A kind of
+// host with more in flight goes on getting less, and a zone with more in flight than the mean sends part of its traffic
+// to other zones.
 // Where the hosts that hops go to have much in flight and answers are slow too, transactions are rejected.
 func Example_liveCapacityHints() {
 	hostWithHint := func(id logic.HostID, zone, kind string, hint float64) logic.Host {
@@ -908,11 +911,11 @@
 	// in flight per core: [5 5 5 5] hops of 100: map[1:3 2:5 3:3]
 }
 
-// Where some transactions get an error at any host, no host is to blame: none is barred for several of them in a row,
+// Where some transactions get an error at any host, no host is the cause: several of them in a row open no breaker,
 // and such a transaction is not retried after errors of two hosts and does not count towards the share of its tenant.
 // Half of the good transactions had been rejected for them, and most of that tenant's. Hosts in zones that get no hops
-// do not show the usual error fraction: compared with them, hosts were barred all the same and the rest was overloaded
-// one by one.
+// do not show the usual error fraction: compared with them, the breakers of hosts opened nevertheless and the rest was
+// overloaded one by one.
 func Example_errorsOfTransactions() {
 	hosts := []logic.Host{readyHost(1, "a", 1), readyHost(2, "a", 1), readyHost(3, "a", 1)}
 	for id := range 9 {
@@ -1229,9 +1232,9 @@
 	// 10000 peer message to 0: pick request, host 0, 0 hops
 }
 
-// A request waits for a remote pick only where responses come within a quarter of its service goal. Where they are
+// A transaction waits for a remote pick only where responses come within a quarter of its service goal. Where they are
 // late, as over a slow network or at a coordinator with so many pick requests that it has no processor time left for
-// its own clients, requests are sent on at once, and one pick request per second, for which none waits, finds out when
+// its own clients, transactions are started at once, and one pick request per second, for which none waits, shows when
 // responses are fast again.
 func Example_slowRemotePicks() {
 	const gatewayCount, gatewayIndex, goal = 300, 100, 200 * ms
--- a/logic/noloadinfo_test.go
+++ b/logic/noloadinfo_test.go
@@ -19,7 +19,7 @@
 
 // A gateway without load information uses few hosts. It used to use five hosts per transaction a second, so a whole zone
 // at ten a second. Hosts accept few connections, and each costs them some work: a third of all hops got no connection and
-// half of the rest was rolled back. A gateway also learns nothing from hosts that it uses once in several seconds.
+// half of the rest was rolled back. A gateway also learns nothing useful about hosts that it uses only once in several seconds.
 func TestSubsetWithoutLoadInfo(t *testing.T) {
 	gw := startWithoutLoadInfo(40, readProfile)
 	gw.runCommitted(1, 400, 0) // at 16 per second
@@ -178,7 +178,7 @@
 	}
 }
 
-// runWithLatencies runs 400 transactions, committed with the given latencies in turn, and returns how many of the last hundred
+// runWithLatencies runs 400 transactions, committed with the given latencies in rotation, and returns how many of the last hundred
 // were rolled back.
 func (gw *testGateway) runWithLatencies(latencies ...time.Duration) (rolledBack int) {
 	for id := 1; id <= 400; id++ {
--- a/logic/profiletenant_test.go
+++ b/logic/profiletenant_test.go
@@ -90,7 +90,7 @@
 }
 
 // A profile that no host answers within its goal is rolled back, except for a try now and then, and is admitted again once hosts answer
-// in time. Without the tries it stayed barred for good, because the answers of another profile kept the state of the hosts fresh.
+// in time. Without the tries it was rejected for good, because the answers of another profile kept the state of the hosts fresh.
 func Example_slowProfileRecovers() {
 	gw := startGatewayAmong(2, 0, peersShareSources, []logic.Profile{readProfile, orderProfile}, nil, readyHosts(30)...)
 	for round := range 50 {
@@ -199,7 +199,8 @@
 	// 1240 of 2000 admitted
 }
 
-// A new configuration removes a tenant that has hops in flight. The ends of such hops were looked up among the remaining tenants.
+// A new configuration removes a tenant that has hops in flight. The tenants of such hops had been looked up among the remaining
+// tenants.
 func Example_tenantRemovedWithHopsInFlight() {
 	tenants := []logic.Tenant{{"first", 20}, {"second", 20}}
 	gw := startGateway([]logic.Profile{readProfile}, tenants, readyHost(1, "a", 1))
--- a/logic/retry_test.go
+++ b/logic/retry_test.go
@@ -82,7 +82,8 @@
 }
 
 // A host that accepts no connection, or a response that is an error, had each transaction retried at up to four more
-// hosts: 17 retries within 5 s where 137 transactions received allow 16.9 (accra-matdb, rough-2, exceeded at 18.52 s).
+// hosts: 17 retries within 5 s where 137 transactions received allow 16.9 (deployment
+// accra-matdb, simulated day rough-2, exceeded at 18.52 s).
 // The budget must hold in every window of its length: after a busy period, at the start, and through a change of
 // traffic.
 func TestRetryBudget(t *testing.T) {
@@ -114,7 +115,7 @@
 	}
 }
 
-// Where no budget is configured a few gateways retry without one, so that the budget does not act on other deployments.
+// Where no budget is configured, a few gateways retry without one: budgets must not affect deployments that have none.
 func TestRetriesWithoutConfiguredBudget(t *testing.T) {
 	gw := startRetryGateway(3, logic.RetryBudget{})
 	gw.run(20, 0, 50*ms, logic.HopNoConnection)
@@ -123,8 +124,8 @@
 	}
 }
 
-// No profile may use up the retries that another needs seconds later, a rule beyond the configured budget: reads that
-// find no connection at any host leave payments their part.
+// No profile may use up the retries that another needs seconds later, although the configured budget alone would allow
+// it: reads that get no connection at any host leave payments their part.
 func Example_retryBudgetReservedByProfile() {
 	gw := startRetryGateway(3, logic.RetryBudget{BaseRetries: 10, RetriesPerTransaction: 0.1, Window: 5 * time.Second})
 	gw.run(20, 0, 10*ms, logic.HopCommitted)
--- a/logic/rulechecker_test.go
+++ b/logic/rulechecker_test.go
@@ -76,9 +76,9 @@
 		State: logic.HostReady, CapacityHint: 1}
 }
 
-// The rules hold in every kind of deployment, whatever happens: hosts that are added, drain, go and return, by whole
-// zones too; hops with all outcomes, late, repeated and out of order; failed lists; clients that leave. A zone without
-// a host had crashed the program.
+// The rules hold in every kind of deployment, whatever happens: hosts that are added, drain, go and return, also whole
+// zones at once; hops with all outcomes, late, repeated and out of order; failed lists; clients that leave. A zone
+// without a host had crashed the program.
 func Example_randomizedRuleChecks() {
 	zoneDedupOrder := orderProfile
 	zoneDedupOrder.DedupScope, zoneDedupOrder.DedupWindow = logic.DedupSameZone, time.Minute
@@ -126,7 +126,7 @@
 	// false false false 1 gateways: 300 taken: true violations: map[]
 }
 
-// randomStep lets up to 40 ms pass and has one random event happen: the host list changes, shrinks to one zone or
+// randomStep lets up to 40 ms pass and triggers one random event: the host list changes, shrinks to one zone or
 // fails, a probe ends, a transaction arrives, or, of one of the last transactions, a hop ends or is reported once more,
 // or the client leaves.
 func (c *ruleChecker) randomStep(random *rand.Rand, received *int) {
--- a/logic/wronglist_test.go
+++ b/logic/wronglist_test.go
@@ -8,8 +8,8 @@
 )
 
 // hopsAfterWrongList returns the hops by host of a gateway whose list calls all hosts gone, or leaves them out, while
-// they still answer, except for host 1, which accepts no connection from then on. If firstHostState is HostDraining, a
-// list says before that host 1 drains.
+// they still answer, except for host 1, which accepts no connection from then on. If firstHostState is HostDraining, an
+// earlier list has host 1 draining.
 func hopsAfterWrongList(allowGoneHosts bool, kind logic.ListKind, firstHostState logic.HostState) map[logic.HostID]int {
 	hosts := []logic.Host{readyHost(1, "a", 0), readyHost(2, "a", 0), readyHost(3, "a", 0), readyHost(4, "a", 0)}
 	gw := startGatewayWithRules(60, 3, logic.InformationSources{MaxListPollInterval: 10 * time.Second},
@@ -45,8 +45,9 @@
 	return gw.hopsByHost
 }
 
-// A list called all thirty hosts gone while they still answered, and a gateway that believed it rolled everything back
-// for nine seconds (ieafa53). With DrainRule.AllowGoneHosts a list does not prove what runs: own hops do.
+// A list called all thirty hosts gone while they still answered, and a gateway that relied on it rolled everything
+// back for nine seconds (simulated day ieafa53). With DrainRule.AllowGoneHosts a list does not show which hosts run: own
+// hops do.
 func TestGoneHostsThatAnswerAreStillUsed(t *testing.T) {
 	for _, kind := range []logic.ListKind{logic.ListChanges, logic.ListComplete} {
 		hops := hopsAfterWrongList(true, kind, logic.HostReady)
