--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -182,7 +182,7 @@
 	if s.Limits.RetryAfter {
 		result.hops.MaxRetryAfter = microseconds(s.Limits.MaxRetryAfter)
 	}
-	result.hops.MaxHops, result.hops.CallOff = s.Limits.MaxHops, s.Limits.Cancelling
+	result.hops.MaxHops, result.hops.CallOffAllowed = s.Limits.MaxHops, s.Limits.Cancelling
 	if nines := s.Blend.FullAtNines; nines != nil && (*nines <= 0 || *nines > maxAvailabilityNines) {
 		return result, fmt.Errorf("settings: blend.fullAtNines: %g is out of range", *nines)
 	} else if nines != nil && s.Blend.Availability > 0 {
--- a/logic/coldfleet_test.go
+++ b/logic/coldfleet_test.go
@@ -272,7 +272,7 @@
 	profile := logic.Profile{Name: "read", Effect: logic.Idempotent, ServiceGoal: 20 * f.scenario.hopTime, Revenue: 1}
 	g.Balancer = logic.New(g, f.now, uint64(1000*g.processCount+g.index), logic.Topology{GatewayCount: cmp.Or(f.scenario.configuredGateways, f.scenario.gatewayCount), GatewayIndex: g.index, Zone: "a",
 		Zones: []string{"a"}}, []logic.Profile{profile}, nil, f.coldRule, logic.DrainRule{},
-		logic.HopRule{MaxHops: 2, CallOff: true, MaxRetryAfter: time.Second}, f.scenario.sources, logic.CostModel{})
+		logic.HopRule{MaxHops: 2, CallOffAllowed: true, MaxRetryAfter: time.Second}, f.scenario.sources, logic.CostModel{})
 	g.HostListReceived(f.now, logic.ListComplete, f.currentList())
 }
 
--- a/logic/faultinjection_test.go
+++ b/logic/faultinjection_test.go
@@ -48,7 +48,7 @@
 	sourceCase := faultSourceCases[i]
 	d := deployment{sourcesName: sourceCase.name, sources: sourceCase.sources, reportedFields: sourceCase.reportedFields, gatewayCount: sourceCase.gatewayCount, zoneCount: 2, hostCount: 8, coresPerHost: 2, slotsPerHost: 20, sharesCores: true,
 		slowKindSpeed: 1, workDistribution: "exponential", waitToWorkRatio: 0.5, seed: uint64(i), arrivalDuration: 20 * time.Second, txPerSecond: 80,
-		costModel: logic.CostModel{CrossZoneHop: 0.02}, hopRule: logic.HopRule{MaxHops: 3, CallOff: true, MaxRetryAfter: time.Second},
+		costModel: logic.CostModel{CrossZoneHop: 0.02}, hopRule: logic.HopRule{MaxHops: 3, CallOffAllowed: true, MaxRetryAfter: time.Second},
 		profiles: []simProfile{
 			{Profile: logic.Profile{Name: "read", Effect: logic.Idempotent, ServiceGoal: 600 * ms, Revenue: 1, LateRevenueFraction: 0.3}, trafficFraction: 0.7, meanWork: 50 * ms},
 			{Profile: logic.Profile{Name: "order", Effect: logic.NonIdempotent, ServiceGoal: 1200 * ms, Revenue: 3, LateRevenueFraction: 0.3}, trafficFraction: 0.3,
--- a/logic/harmless_test.go
+++ b/logic/harmless_test.go
@@ -63,7 +63,7 @@
 	}
 	d.costModel = []logic.CostModel{{CrossZoneHop: 0.05}, {CrossZoneHop: 0.02, OpenConnections: true}, {RevenueByWork: true}, {MissedGoals: true},
 		{AvailabilityNines: 3, OpenConnections: true}}[random.IntN(5)]
-	d.hopRule = logic.HopRule{MaxHops: 2 + random.IntN(3), CallOff: random.IntN(3) > 0, MaxRetryAfter: time.Second}
+	d.hopRule = logic.HopRule{MaxHops: 2 + random.IntN(3), CallOffAllowed: random.IntN(3) > 0, MaxRetryAfter: time.Second}
 	baseWorkMs, totalFraction, totalWork, profileCount := logUniform(20, 100), 0.0, 0.0, 1+random.IntN(4)
 	for i := range profileCount {
 		profile := simProfile{trafficFraction: uniform(0.2, 1), minGoalMultiple: logUniform(2, 30)}
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -907,7 +907,7 @@
 		t.tenant, t.overShare = &b.admission.tenants[arrival.TenantIndex], b.admission.charge(arrival.TenantIndex)
 		t.outlierTenant = b.admission.isOutlier(t.tenant)
 	}
-	t.hopWeight = ternary(arrival.BodyPending || t.outlierTenant, 0, 1)
+	t.inFlightPerHop = ternary(arrival.BodyPending || t.outlierTenant, 0, 1)
 	if b.hopRule.MaxBufferedResponses > 0 {
 		b.schedule(now+p.ServiceGoal, func() { b.endSlowRead(t) })
 	}
@@ -1010,7 +1010,7 @@
 	if b.isCold(h) {
 		h.coldHopTimes = append(h.coldHopTimes, b.now)
 	}
-	h.ownInFlight += t.hopWeight
+	h.ownInFlight += t.inFlightPerHop
 	h.unansweredSince = ternary(h.ownInFlight == 1, b.now, h.unansweredSince)
 	if inFlight := h.ownInFlight + h.peersInFlight; b.slotsUnknown(h) && inFlight >= minInFlightToProbe &&
 		inFlight%(minInFlightToProbe/2) == 0 {
@@ -1027,7 +1027,7 @@
 			}
 		}})
 	b.executor.SendHop(t.id, h.ID, wait)
-	if b.hasNoLoadInfo() && b.hopRule.CallOff {
+	if b.hasNoLoadInfo() && b.hopRule.CallOffAllowed {
 		b.callOffAfter(b.hopTimeLimit(t, h.group), t, len(t.hops)-1)
 	}
 }
@@ -1073,7 +1073,7 @@
 // retry sends a further hop if the retry budget allows it and a host can still answer in time.
 func (b *Balancer) retry(t *tx) bool {
 	if t.errorCount() >= maxErrorAnswersPerTx && b.errorFraction.value >= commonErrorFraction ||
-		!b.retryAffordable(t.profile) {
+		!b.withinRetryBudget(t.profile) {
 		return false
 	}
 	h, expectedTime := b.chooseHost(t)
@@ -1094,9 +1094,9 @@
 		RetryBudget{defaultBaseRetries, defaultRetriesPerTransaction, defaultRetryWindow})
 }
 
-// retryAffordable reports whether a further hop of a profile stays within the retry budget. Part of each profile's
+// withinRetryBudget reports whether a further hop of a profile stays within the retry budget. Part of each profile's
 // portion of the budget, by revenue, is reserved for that profile.
-func (b *Balancer) retryAffordable(profile int) bool {
+func (b *Balancer) withinRetryBudget(profile int) bool {
 	budget, revenue, taken := b.retryBudget(), 0.0, 0.0
 	for i := range b.retryUsage {
 		transactions := b.retryUsage[i].transactions.lowerBound(b.now, budget.Window)
@@ -1133,7 +1133,7 @@
 		return
 	}
 	hop.ended, hop.outcome, t.hopsInFlight, hop.host.ownInFlight = true, result.Outcome, t.hopsInFlight-1,
-		hop.host.ownInFlight-t.hopWeight
+		hop.host.ownInFlight-t.inFlightPerHop
 	switch {
 	case result.Outcome == HopCommitted:
 		hop.host.lastUsedAt, hop.host.connectionUnproven = now, false
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -120,7 +120,7 @@
 	for _, closeIdle := range []bool{true, false} {
 		gw := startGatewayWithRules(2, 0, logic.InformationSources{ProbesReportLoad: true}, logic.CostModel{},
 			logic.DrainRule{CloseIdleConnections: closeIdle},
-			logic.HopRule{MaxHops: 3, CallOff: true}, []logic.Profile{readProfile}, nil, readyHost(1, "a", 1))
+			logic.HopRule{MaxHops: 3, CallOffAllowed: true}, []logic.Profile{readProfile}, nil, readyHost(1, "a", 1))
 		gw.receive(1, 0, -1)
 		gw.receive(2, 0, -1)
 		draining := readyHost(1, "a", 1)
@@ -810,7 +810,7 @@
 	removed, idempotent := paymentProfile, paymentProfile
 	removed.Removed, idempotent.Effect = true, logic.Idempotent
 	gw.Reconfigure(gw.now, []logic.Profile{removed, idempotent}, nil, logic.ColdHostRule{}, logic.DrainRule{},
-		logic.HopRule{MaxHops: 2, CallOff: true}, logic.InformationSources{}, logic.CostModel{})
+		logic.HopRule{MaxHops: 2, CallOffAllowed: true}, logic.InformationSources{}, logic.CostModel{})
 	gw.endHop(1, 0, logic.HopError, ms)
 	gw.endHop(2, 0, logic.HopHostFull, ms)
 	gw.endHop(2, 1, logic.HopHostFull, ms)
@@ -948,7 +948,7 @@
 // answers others far sooner, and say nothing about that host.
 func Example_slowReaders() {
 	gw := startGatewayWithRules(2, 0, logic.InformationSources{MaxListPollInterval: 10 * time.Second},
-		logic.CostModel{}, logic.DrainRule{}, logic.HopRule{MaxHops: 3, CallOff: true, MaxBufferedResponses: 8},
+		logic.CostModel{}, logic.DrainRule{}, logic.HopRule{MaxHops: 3, CallOffAllowed: true, MaxBufferedResponses: 8},
 		[]logic.Profile{readProfile}, nil, readyHost(1, "a", 1), readyHost(2, "a", 1))
 	gw.runCommitted(1, 20, 0)
 	for id := 100; id < 104; id++ {
--- a/logic/overload_test.go
+++ b/logic/overload_test.go
@@ -25,7 +25,7 @@
 	sim := newSimulation(deployment{
 		sourcesName: "probes", sources: logic.InformationSources{ProbesReportLoad: true}, reportedFields: "inflight queued", gatewayCount: gatewayCount, zoneCount: 1, hostCount: 10, coresPerHost: 3, slotsPerHost: 3,
 		slowKindSpeed: 0.8, workDistribution: "lognormal", lognormalSigma: 0.4, profiles: []simProfile{bid, bill}, seed: seed, txPerSecond: 75, arrivalDuration: overloadRunDuration,
-		hopRule: logic.HopRule{MaxHops: 4, CallOff: true, MaxRetryAfter: time.Second}}, false)
+		hopRule: logic.HopRule{MaxHops: 4, CallOffAllowed: true, MaxRetryAfter: time.Second}}, false)
 	sim.hostsIgnoreCancellation, sim.queueLimit = true, 40
 	sim.extraWait = func(hop *simHop) time.Duration {
 		if at := sim.now - time.Second; at >= stallStart && at < stallEnd {
--- a/logic/rulechecker_test.go
+++ b/logic/rulechecker_test.go
@@ -102,7 +102,7 @@
 					logic.ColdHostRule{InitialCapacityFraction: 0.2, WarmUpDuration: 5 * time.Second,
 						OverloadMultiple: 3, OverloadDuration: time.Second},
 					logic.DrainRule{CloseIdleConnections: seed%2 == 0},
-					logic.HopRule{MaxHops: 4, CallOff: true, MaxBufferedResponses: int(seed % 3),
+					logic.HopRule{MaxHops: 4, CallOffAllowed: true, MaxBufferedResponses: int(seed % 3),
 						BudgetTolerance: time.Second},
 					sources, logic.CostModel{})
 				for range 3000 {
--- a/logic/state.go
+++ b/logic/state.go
@@ -606,10 +606,10 @@
 func (b *Balancer) HopBodySent(now time.Duration, id TxID, hopIndex int) {
 	b.beginCall(now)
 	t, hop := b.openHop(id, hopIndex)
-	if hop == nil || t.hopWeight > 0 {
+	if hop == nil || t.inFlightPerHop > 0 {
 		return
 	}
-	t.hopWeight, t.deadline, hop.sentAt = 1, t.deadline+now-hop.sentAt, now
+	t.inFlightPerHop, t.deadline, hop.sentAt = 1, t.deadline+now-hop.sentAt, now
 	if hop.host.ownInFlight++; hop.host.ownInFlight == 1 {
 		hop.host.unansweredSince = now
 	}
@@ -1291,15 +1291,15 @@
 func (r *retryUsage) countTransaction(now, span time.Duration) { r.transactions.add(now, span) }
 func (r *retryUsage) countRetry(now, span time.Duration)       { r.retries.add(now, span) }
 
-// slotsPerWindow is the number of equal parts of a slidingWindow's span: counts expire one slot at a time.
-const slotsPerWindow = 20
+// bucketsPerWindow is the number of equal parts of a slidingWindow's span: counts expire one slot at a time.
+const bucketsPerWindow = 20
 
 // slidingWindow counts events within the last span, by slots. There is one slot more than the span has, as the oldest
 // lies in it only partly.
 type slidingWindow struct {
-	span       time.Duration // of the last call
-	newestSlot int64         // number of the newest slot, counted from time 0 of the Balancer
-	slots      [slotsPerWindow + 1]int32
+	span         time.Duration // of the last call
+	newestBucket int64         // number of the newest slot, counted from time 0 of the Balancer
+	buckets      [bucketsPerWindow + 1]int32
 }
 
 // advance clears the slots that have left the window. A change of span keeps the total, as if all had come now.
@@ -1307,23 +1307,23 @@
 	if span <= 0 {
 		return
 	}
-	slot := int64(now) / max(1, int64(span)/slotsPerWindow)
+	bucket := int64(now) / max(1, int64(span)/bucketsPerWindow)
 	if w.span != span {
 		total := w.total()
-		*w = slidingWindow{span: span, newestSlot: slot}
-		w.slots[slot%(slotsPerWindow+1)] = int32(total)
+		*w = slidingWindow{span: span, newestBucket: bucket}
+		w.buckets[bucket%(bucketsPerWindow+1)] = int32(total)
 	}
-	for ; w.newestSlot < slot; w.newestSlot++ {
-		if slot-w.newestSlot > slotsPerWindow {
-			w.newestSlot = slot - slotsPerWindow - 1
+	for ; w.newestBucket < bucket; w.newestBucket++ {
+		if bucket-w.newestBucket > bucketsPerWindow {
+			w.newestBucket = bucket - bucketsPerWindow - 1
 		}
-		w.slots[(w.newestSlot+1)%(slotsPerWindow+1)] = 0
+		w.buckets[(w.newestBucket+1)%(bucketsPerWindow+1)] = 0
 	}
 }
 
 func (w *slidingWindow) add(now, span time.Duration) {
 	if w.advance(now, span); span > 0 {
-		w.slots[w.newestSlot%(slotsPerWindow+1)]++
+		w.buckets[w.newestBucket%(bucketsPerWindow+1)]++
 	}
 }
 
@@ -1336,12 +1336,12 @@
 // lowerBound returns how many events at least came within the span: the oldest slot does not count.
 func (w *slidingWindow) lowerBound(now, span time.Duration) float64 {
 	w.advance(now, span)
-	return w.total() - float64(w.slots[(w.newestSlot+1)%(slotsPerWindow+1)])
+	return w.total() - float64(w.buckets[(w.newestBucket+1)%(bucketsPerWindow+1)])
 }
 
 func (w *slidingWindow) total() float64 {
 	total := int32(0)
-	for _, count := range w.slots {
+	for _, count := range w.buckets {
 		total += count
 	}
 	return float64(total)
@@ -1405,21 +1405,21 @@
 
 // tx is the state of one transaction.
 type tx struct {
-	id            TxID
-	profile       int // index of profileConfig
-	profileConfig *Profile
-	deadline      time.Duration // when an answer earns nothing more, or the budget ends
-	hops          []hop
-	hopsInFlight  int
-	affinityKey   uint32     // of work that hosts remember, 0 for none
-	homeGroup     *zoneGroup // the zone that it arrived in
-	maxHops       int
-	hopWeight     int     // what a hop counts in flight at its host: 0 while the body arrives, or for outlierTenant
-	outlierTenant bool    // its tenant's hops are late at all hosts: they count at no host and say nothing about it
-	overShare     bool    // beyond its tenant's share
-	tenant        *tenant // nil for none
-	slowReader    bool    // its client reads the answer slowly
-	done          bool    // it has its final answer, or its response has started
+	id             TxID
+	profile        int // index of profileConfig
+	profileConfig  *Profile
+	deadline       time.Duration // when an answer earns nothing more, or the budget ends
+	hops           []hop
+	hopsInFlight   int
+	affinityKey    uint32     // of work that hosts remember, 0 for none
+	homeGroup      *zoneGroup // the zone that it arrived in
+	maxHops        int
+	inFlightPerHop int     // what a hop counts in flight at its host: 0 while the body arrives, or for outlierTenant
+	outlierTenant  bool    // its tenant's hops are late at all hosts: they count at no host and say nothing about it
+	overShare      bool    // beyond its tenant's share
+	tenant         *tenant // nil for none
+	slowReader     bool    // its client reads the answer slowly
+	done           bool    // it has its final answer, or its response has started
 }
 
 // candidate is a host in a weighted random pick. Its score is drawn so that the largest falls to each host in proportion
@@ -1457,7 +1457,7 @@
 // answered with an error does not count towards its tenant's share, as it is hardly any work.
 func (b *Balancer) settleTransaction(t *tx) {
 	for i := range t.hops {
-		if !t.hops[i].ended && !t.done && b.hopRule.CallOff {
+		if !t.hops[i].ended && !t.done && b.hopRule.CallOffAllowed {
 			b.executor.CallOff(t.id, i)
 		}
 	}
--- a/logic/testgateway_test.go
+++ b/logic/testgateway_test.go
@@ -48,7 +48,7 @@
 func startGatewayWithCosts(gatewayCount, gatewayIndex int, sources logic.InformationSources, costModel logic.CostModel,
 	profiles []logic.Profile, tenants []logic.Tenant, hosts ...logic.Host) *testGateway {
 	return startGatewayWithRules(gatewayCount, gatewayIndex, sources, costModel, logic.DrainRule{},
-		logic.HopRule{MaxHops: 3, CallOff: true, MaxRetryAfter: time.Second},
+		logic.HopRule{MaxHops: 3, CallOffAllowed: true, MaxRetryAfter: time.Second},
 		profiles, tenants, hosts...)
 }
 
--- a/logic/types.go
+++ b/logic/types.go
@@ -273,7 +273,7 @@
 // HopRule bounds what one transaction may use.
 type HopRule struct {
 	MaxHops              int
-	CallOff              bool          // hops may be called off
+	CallOffAllowed       bool          // hops may be called off
 	MaxRetryAfter        time.Duration // longest retry delay that clients follow, 0 if they are given none
 	BudgetTolerance      time.Duration // maximum error of a transaction's stated budget, in either direction
 	MaxBufferedResponses int           // responses buffered while their clients read them, 0 for no limit
