--- a/logic/state.go
+++ b/logic/state.go
@@ -322,7 +322,7 @@
 	}
 }
 
-// remotePickTimedOut gives up a pick request unless its response has come. After several such requests in a row it turns
+// remotePickTimedOut ends a pick request unless its response has come. After several such requests in a row it goes on
 // to the next coordinator.
 func (b *Balancer) remotePickTimedOut(pending *pendingPick) {
 	i := slices.Index(b.pendingPicks, pending)
@@ -684,13 +684,16 @@
 // the weight smoothing, but at least 1/samples. With a smoothing of 0 it stays the plain mean.
 type movingAverage struct{ value, samples float64 }
 
+// add includes a sample in the average.
 func (a *movingAverage) add(sample, smoothing float64) {
 	a.samples++
 	a.value += max(smoothing, 1/a.samples) * (sample - a.value)
 }
 
+// export returns the average in the form that is handed to the next process.
 func (a movingAverage) export() SmoothedMean { return SmoothedMean{a.value, a.samples} }
 
+// movingAverage is the inverse of movingAverage.export.
 func (m SmoothedMean) movingAverage() movingAverage { return movingAverage{m.Value, m.Samples} }
 
 // timerQueue holds functions ordered by the time at which they are due. Of those due at the same time the one added
@@ -706,6 +709,7 @@
 	run func()
 }
 
+// add inserts a function after all that are due at the same time or earlier.
 func (q *timerQueue) add(at time.Duration, run func()) {
 	i := len(q.entries)
 	for i > 0 && q.entries[i-1].at > at {
@@ -807,6 +811,7 @@
 	return nil
 }
 
+// ownGroup returns the group of this gateway's own zone.
 func (t *hostTable) ownGroup() *zoneGroup { return t.groups[0] }
 
 // errorFractionElsewhere returns the mean error fraction of the hosts with a closed breaker, except for one, whose own
@@ -858,8 +863,8 @@
 	return t.ownGroup()
 }
 
-// rank returns the place of a host in this gateway's order of preference, from 0 to 1, the same for all hosts where it
-// has no order of its own.
+// rank returns a number in [0, 1) by which this gateway orders its hosts, lower ones preferred. It is the same for all
+// hosts if the gateway has no order of its own.
 func (t *hostTable) rank(id HostID) float64 {
 	return ternary(t.rankSeed == 0, &randomSource{}, &randomSource{t.rankSeed, uint32(id)}).uniform()
 }
@@ -1288,21 +1293,24 @@
 // retryUsage counts the transactions received of a profile, and its retries: the hops beyond each transaction's first.
 type retryUsage struct{ transactions, retries slidingWindow }
 
+// countTransaction counts a transaction received now. The span is that of the retry budget.
 func (r *retryUsage) countTransaction(now, span time.Duration) { r.transactions.add(now, span) }
-func (r *retryUsage) countRetry(now, span time.Duration)       { r.retries.add(now, span) }
 
-// bucketsPerWindow is the number of equal parts of a slidingWindow's span: counts expire one slot at a time.
+// countRetry counts a retry sent now. The span is that of the retry budget.
+func (r *retryUsage) countRetry(now, span time.Duration) { r.retries.add(now, span) }
+
+// bucketsPerWindow is the number of equal parts of a slidingWindow's span: counts expire one bucket at a time.
 const bucketsPerWindow = 20
 
-// slidingWindow counts events within the last span, by slots. There is one slot more than the span has, as the oldest
-// lies in it only partly.
+// slidingWindow counts events within the last span, in buckets. There is one bucket more than bucketsPerWindow, as the
+// oldest lies in the window only partly.
 type slidingWindow struct {
 	span         time.Duration // of the last call
-	newestBucket int64         // number of the newest slot, counted from time 0 of the Balancer
+	newestBucket int64         // number of the newest bucket, counted from time 0 of the Balancer
 	buckets      [bucketsPerWindow + 1]int32
 }
 
-// advance clears the slots that have left the window. A change of span keeps the total, as if all had come now.
+// advance clears the buckets that have left the window. A change of span keeps the total, as if all had come now.
 func (w *slidingWindow) advance(now, span time.Duration) {
 	if span <= 0 {
 		return
@@ -1321,24 +1329,26 @@
 	}
 }
 
+// add counts one event now.
 func (w *slidingWindow) add(now, span time.Duration) {
 	if w.advance(now, span); span > 0 {
 		w.buckets[w.newestBucket%(bucketsPerWindow+1)]++
 	}
 }
 
-// upperBound returns how many events at most came within the span: the oldest slot counts in full.
+// upperBound returns how many events at most came within the span: the oldest bucket counts in full.
 func (w *slidingWindow) upperBound(now, span time.Duration) float64 {
 	w.advance(now, span)
 	return w.total()
 }
 
-// lowerBound returns how many events at least came within the span: the oldest slot does not count.
+// lowerBound returns how many events at least came within the span: the oldest bucket does not count.
 func (w *slidingWindow) lowerBound(now, span time.Duration) float64 {
 	w.advance(now, span)
 	return w.total() - float64(w.buckets[(w.newestBucket+1)%(bucketsPerWindow+1)])
 }
 
+// total returns the sum of all buckets, as of the last advance.
 func (w *slidingWindow) total() float64 {
 	total := int32(0)
 	for _, count := range w.buckets {
