--- a/logic/faultinjection_test.go
+++ b/logic/faultinjection_test.go
@@ -13,10 +13,10 @@
 // fault that looks alike but needs a different reaction. Results are compared with the same run without the fault, for the transactions
 // that arrive after the gateways have had a third of the fault's duration to detect it.
 const (
-	faultStart         = 6 * time.Second
-	faultFreeTail      = 2 * time.Second // from the end of the fault to the end of the run
-	maxInGoalLoss      = 0.05            // in the fraction committed within the goal, compared with the run without the fault
-	avoidedShareOfEven = 0.5             // hosts with less than this multiple of an even share of the hops count as avoided
+	faultStart            = 6 * time.Second
+	faultFreeTail         = 2 * time.Second // from the end of the fault to the end of the run
+	maxInGoalLoss         = 0.05            // in the fraction committed within the goal, compared with the run without the fault
+	avoidedShareThreshold = 0.5             // hosts with less than this multiple of an even share of the hops count as avoided
 )
 
 // faultSourceCases are small and large numbers of gateways with very different information about hosts.
@@ -153,7 +153,7 @@
 // checkAvoided checks that hosts get at most half of an even share of the hops that filter selects.
 func checkAvoided(t *testing.T, description string, sim *simulation, hosts []logic.HostID, filter func(*simHop) bool) {
 	t.Helper()
-	checkAtMost(t, "hops to "+description, sim.hopFraction(hosts, filter), avoidedShareOfEven*float64(len(hosts))/float64(sim.hostCount))
+	checkAtMost(t, "hops to "+description, sim.hopFraction(hosts, filter), avoidedShareThreshold*float64(len(hosts))/float64(sim.hostCount))
 }
 
 // checkServed checks that the fraction committed within the goal, of the transactions that filter selects, is at most maxLoss below that
@@ -285,7 +285,7 @@
 		}
 	}, func(t *testing.T, faultFree, sim *simulation) {
 		checkServed(t, "all", faultFree, sim, nil, 0.02)
-		checkAtLeast(t, "hops to the host that failed briefly", sim.hopFraction([]logic.HostID{1}, nil), avoidedShareOfEven/8)
+		checkAtLeast(t, "hops to the host that failed briefly", sim.hopFraction([]logic.HostID{1}, nil), avoidedShareThreshold/8)
 	})
 }
 
