--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -83,7 +83,7 @@
 
 // effectsByName has the values of a profile's effect.
 var effectsByName = map[string]logic.Effect{
-	"idempotent": logic.Idempotent, "deduplicated": logic.Journalled, "at_most_once": logic.NonIdempotent,
+	"idempotent": logic.Idempotent, "deduplicated": logic.Deduplicated, "at_most_once": logic.NonIdempotent,
 }
 
 // capacityHintsByName has the values of weights: what the capacity hints in the host list mean. Without the key the hints are ignored.
@@ -168,7 +168,7 @@
 			return result, fmt.Errorf("settings: profile %s: unknown effect %q", profile.Name, profile.Effect)
 		}
 		scope, ok := dedupScopesByName[profile.DedupScope]
-		if !ok && effect == logic.Journalled {
+		if !ok && effect == logic.Deduplicated {
 			return result, fmt.Errorf("settings: profile %s: unknown group %q", profile.Name, profile.DedupScope)
 		}
 		result.maxHardLimit = max(result.maxHardLimit, microseconds(profile.HardLimit))
@@ -182,7 +182,7 @@
 	if s.Limits.RetryAfter {
 		result.hops.MaxRetryAfter = microseconds(s.Limits.MaxRetryAfter)
 	}
-	result.hops.MaxHops, result.hops.CallOff = s.Limits.MaxHops, s.Limits.Cancelling
+	result.hops.MaxHops, result.hops.CallOffAllowed = s.Limits.MaxHops, s.Limits.Cancelling
 	if nines := s.Blend.FullAtNines; nines != nil && (*nines <= 0 || *nines > maxAvailabilityNines) {
 		return result, fmt.Errorf("settings: blend.fullAtNines: %g is out of range", *nines)
 	} else if nines != nil && s.Blend.Availability > 0 {
--- a/logic/rulechecker_test.go
+++ b/logic/rulechecker_test.go
@@ -42,7 +42,7 @@
 	if t != nil {
 		c.check("rolled back though it may have run", !rolledBack || t.possiblyRanOn == nil && t.hopsInFlight == 0 ||
 			t.profile.Effect == logic.Idempotent ||
-			t.profile.Effect == logic.Journalled && t.profile.DedupScope == logic.DedupAllHosts)
+			t.profile.Effect == logic.Deduplicated && t.profile.DedupScope == logic.DedupAllHosts)
 		t.answered = true
 	}
 }
@@ -56,7 +56,7 @@
 	}
 	target := hostWithID(hostID)
 	c.check("may run twice", t.possiblyRanOn == nil && t.hopsInFlight == 0 || t.profile.Effect == logic.Idempotent ||
-		t.profile.Effect == logic.Journalled && t.possiblyRanOn != nil && t.possiblyRanOn.Zone == target.Zone)
+		t.profile.Effect == logic.Deduplicated && t.possiblyRanOn != nil && t.possiblyRanOn.Zone == target.Zone)
 	t.hops = append(t.hops, target)
 	t.hopsInFlight++
 }
@@ -76,9 +76,9 @@
 		State: logic.HostReady, CapacityHint: 1}
 }
 
-// The rules hold in every kind of deployment, whatever happens: hosts that are added, drain, go and return, by whole
-// zones too; hops with all outcomes, late, repeated and out of order; failed lists; clients that leave. A zone without
-// a host had crashed the program.
+// The rules hold in every kind of deployment, whatever happens: hosts that are added, drain, go and return, also whole
+// zones at once; hops with all outcomes, late, repeated and out of order; failed lists; clients that leave. A zone
+// without a host had crashed the program.
 func Example_randomizedRuleChecks() {
 	zoneDedupOrder := orderProfile
 	zoneDedupOrder.DedupScope, zoneDedupOrder.DedupWindow = logic.DedupSameZone, time.Minute
@@ -102,7 +102,7 @@
 					logic.ColdHostRule{InitialCapacityFraction: 0.2, WarmUpDuration: 5 * time.Second,
 						OverloadMultiple: 3, OverloadDuration: time.Second},
 					logic.DrainRule{CloseIdleConnections: seed%2 == 0},
-					logic.HopRule{MaxHops: 4, CallOff: true, MaxBufferedResponses: int(seed % 3),
+					logic.HopRule{MaxHops: 4, CallOffAllowed: true, MaxBufferedResponses: int(seed % 3),
 						BudgetTolerance: time.Second},
 					sources, logic.CostModel{})
 				for range 3000 {
@@ -126,7 +126,7 @@
 	// false false false 1 gateways: 300 taken: true violations: map[]
 }
 
-// randomStep lets up to 40 ms pass and has one random event happen: the host list changes, shrinks to one zone or
+// randomStep lets up to 40 ms pass and triggers one random event: the host list changes, shrinks to one zone or
 // fails, a probe ends, a transaction arrives, or, of one of the last transactions, a hop ends or is reported once more,
 // or the client leaves.
 func (c *ruleChecker) randomStep(random *rand.Rand, received *int) {
@@ -165,7 +165,7 @@
 		*received++
 		profile := random.IntN(3)
 		c.txs[logic.TxID(*received)] = &checkedTx{profile: []logic.Profile{readProfile,
-			{Effect: logic.Journalled, DedupScope: logic.DedupSameZone}, paymentProfile}[profile]}
+			{Effect: logic.Deduplicated, DedupScope: logic.DedupSameZone}, paymentProfile}[profile]}
 		c.TransactionReceived(c.now, logic.TxID(*received), logic.Arrival{ProfileIndex: profile,
 			TenantIndex: random.IntN(2) - 1, Budget: time.Duration(random.IntN(2000)) * ms})
 	default:
--- a/logic/state.go
+++ b/logic/state.go
@@ -36,7 +36,7 @@
 	serviceTime         []movingAverage // by profile: time of a hop, in ns, at a host of ratio 1 with a free core
 	longTermServiceTime []movingAverage // the same, smoothed over far more answers
 	minServiceTime      []float64       // by profile: least recent service time, in ns, as when hosts are idle
-	previousSamples     []float64       // by profile: samples of serviceTime one second ago
+	previousSamples     []float64       // by profile: number of samples in serviceTime at the last periodic update
 	retryUsage          []retryUsage    // by profile
 	lastAnsweredAt      []time.Duration // by profile: when a hop last succeeded
 	slowReaders         int             // transactions whose clients read their answers slowly
@@ -64,7 +64,7 @@
 type pendingPick struct {
 	tx      *tx
 	sentAt  time.Duration
-	txWaits bool // the transaction waits for the response; else it was started without
+	txWaits bool // the transaction waits for the response; otherwise it was started without it
 }
 
 // New returns the Balancer of one gateway. All of its random choices derive from seed.
@@ -155,7 +155,7 @@
 	for _, kind := range slices.Sorted(maps.Keys(b.hosts.kinds)) {
 		stats := b.hosts.kinds[kind]
 		learned.Kinds = append(learned.Kinds, LearnedHostKind{kind, stats.slots.export(), stats.serviceTimeRatio.export(),
-			stats.meanInFlight.export(), stats.uncrowdedInFlight.export(), stats.uncrowdedUtilization.export()})
+			stats.meanInFlight.export(), stats.lowLoadInFlight.export(), stats.lowLoadUtilization.export()})
 	}
 	for _, h := range b.hosts.ready {
 		entry := LearnedHost{ID: h.ID, Uptime: ternary(h.StartedAt == 0, -1, now-h.StartedAt), Weight: h.weight,
@@ -182,9 +182,9 @@
 	}
 	for _, entry := range learned.Kinds {
 		if stats := b.hosts.kinds[entry.Kind]; stats != nil && stats.slots.samples == 0 && stats.serviceTimeRatio.samples == 0 {
-			stats.slots, stats.serviceTimeRatio, stats.meanInFlight, stats.uncrowdedInFlight, stats.uncrowdedUtilization =
+			stats.slots, stats.serviceTimeRatio, stats.meanInFlight, stats.lowLoadInFlight, stats.lowLoadUtilization =
 				entry.Slots.movingAverage(), entry.ServiceTimeRatio.movingAverage(), entry.MeanInFlight.movingAverage(),
-				entry.UncrowdedInFlight.movingAverage(), entry.UncrowdedUtilization.movingAverage()
+				entry.LowLoadInFlight.movingAverage(), entry.LowLoadUtilization.movingAverage()
 		}
 	}
 	if age > observationTTL {
@@ -206,8 +206,8 @@
 	}
 }
 
-// markUnsent has the state of a host sent to peers, together with all that changes within peerMessageDelay. It accepts
-// nil.
+// markUnsent schedules the state of a host for sending to peers, in one message with all that changes within
+// peerMessageDelay. It does nothing if h is nil.
 func (b *Balancer) markUnsent(h *host) {
 	if b.sources.PeersShareInFlight && h != nil && !h.unsent {
 		h.unsent = true
@@ -217,7 +217,7 @@
 	}
 }
 
-// markForResend has the in-flight count of a host sent once more, as messages may be lost.
+// markForResend schedules the in-flight count of a host for sending once more, as messages may be lost.
 func (b *Balancer) markForResend(h *host) {
 	if h.ownInFlight > 0 || h.resend {
 		b.markUnsent(h)
@@ -322,7 +322,7 @@
 	}
 }
 
-// remotePickTimedOut gives up a pick request unless its response has come. After several such requests in a row it turns
+// remotePickTimedOut ends a pick request unless its response has come. After several such requests in a row it goes on
 // to the next coordinator.
 func (b *Balancer) remotePickTimedOut(pending *pendingPick) {
 	i := slices.Index(b.pendingPicks, pending)
@@ -332,14 +332,14 @@
 	b.pendingPicks = slices.Delete(b.pendingPicks, i, i+1)
 	b.remotePickLatency.add(float64(b.now-pending.sentAt), rateSmoothing)
 	home, missed := pending.tx.homeGroup, 1
-	// One that nobody waits for stands for the transactions of its second that sent no request.
+	// A request that no transaction waits for counts several times, as it is the only one of its second.
 	if !pending.txWaits && b.consecutiveUnansweredPicks < unansweredPicksToSuspectIsolation {
 		missed = consecutiveFailuresToOpen
 	}
 	home.recordUnanswered(missed, ternary(b.consecutiveUnansweredPicks < unansweredPicksToSuspectIsolation,
 		consecutiveFailuresToOpen, 2*consecutiveFailuresToOpen))
 	before := b.consecutiveUnansweredPicks
-	// Back to the first coordinator, so that all gateways turn to the same one once messages get through again.
+	// Back to the first coordinator, so that all gateways use the same one once messages get through again.
 	if b.consecutiveUnansweredPicks += missed; before < unansweredPicksToSuspectIsolation &&
 		b.consecutiveUnansweredPicks >= unansweredPicksToSuspectIsolation {
 		home.skippedCoordinators, home.consecutiveUnanswered = 0, 0
@@ -353,7 +353,7 @@
 // coordinator picked none, and is started without the response where that host is no longer usable.
 func (b *Balancer) remotePickAnswered(from int, response PeerEntry, h *host) {
 	b.hosts.ownGroup().consecutiveUnanswered, b.consecutiveUnansweredPicks = 0, 0
-	b.markUnsent(h) // else a pick that came too late, or is not used, would stay counted as in flight
+	b.markUnsent(h) // otherwise a pick that came too late, or is not used, would stay counted as in flight
 	pending := b.takePendingPick(response.Profile)
 	if pending == nil {
 		return
@@ -374,7 +374,7 @@
 	}
 }
 
-// PeerMessageReceived takes in the entries of a message in their order.
+// PeerMessageReceived processes the entries of a message in order.
 func (b *Balancer) PeerMessageReceived(now time.Duration, from int, entries []PeerEntry) {
 	b.beginCall(now)
 	for _, entry := range entries {
@@ -426,9 +426,9 @@
 	return pending
 }
 
-// manyWithoutPeerMessages reports whether this is one of many gateways (more than maxIndependentGateways) that exchange
-// no peer messages: they know each other's load only from what hosts report.
-func (b *Balancer) manyWithoutPeerMessages() bool {
+// manyGatewaysWithoutPeerMessages reports whether this is one of many gateways (more than maxIndependentGateways) that
+// exchange no peer messages: they know each other's load only from what hosts report.
+func (b *Balancer) manyGatewaysWithoutPeerMessages() bool {
 	return !b.sources.PeersShareInFlight && b.topology.GatewayCount > maxIndependentGateways
 }
 
@@ -441,22 +441,22 @@
 // usesLiveCapacity reports whether the load of hosts is known from the live capacity hints of the host list, and from
 // nothing else.
 func (b *Balancer) usesLiveCapacity() bool {
-	return b.sources.CapacityHints == LiveCapacity && b.manyWithoutPeerMessages()
+	return b.sources.CapacityHints == LiveCapacity && b.manyGatewaysWithoutPeerMessages()
 }
 
 // hasNoLoadInfo reports whether this is one of many gateways that learn about hosts from the outcomes of their own hops
 // alone.
 func (b *Balancer) hasNoLoadInfo() bool {
-	return b.manyWithoutPeerMessages() && !b.sources.ResponsesReportLoad && !b.sources.ProbesReportLoad &&
+	return b.manyGatewaysWithoutPeerMessages() && !b.sources.ResponsesReportLoad && !b.sources.ProbesReportLoad &&
 		b.sources.CapacityHints != LiveCapacity
 }
 
 // judgesByZone reports whether load is judged by zone, as too little is known in time of any one host.
 func (b *Balancer) judgesByZone() bool { return b.usesLiveCapacity() || b.hasNoLoadInfo() }
 
-// fewWithoutReports reports whether this is one of few gateways that learn about hosts from the outcomes of their own
+// fewGatewaysWithoutReports reports whether this is one of few gateways that learn about hosts from the outcomes of their own
 // hops and from occasional probes.
-func (b *Balancer) fewWithoutReports() bool {
+func (b *Balancer) fewGatewaysWithoutReports() bool {
 	return b.topology.GatewayCount <= maxIndependentGateways && !b.sources.PeersShareInFlight && !b.sources.ResponsesReportLoad
 }
 
@@ -467,7 +467,7 @@
 		!b.judgesByZone()
 }
 
-// recordLatencyRatio takes in the latency of a hop, relative to that at an idle host, for the host and its zone. For
+// recordLatencyRatio records the latency of a hop, relative to that at an idle host, for the host and its zone. For
 // profiles that earn no more than this one it counts in full. For those that earn more it counts less, as hosts may
 // serve them first.
 func (b *Balancer) recordLatencyRatio(h *host, profile int, result HopResult, hostHangs bool) {
@@ -569,7 +569,7 @@
 	}
 }
 
-// recordLoadReport takes in a load report of a host. It counts for the whole zone too, as one of many gateways gets few
+// recordLoadReport records a load report of a host. It counts for the whole zone too, as one of many gateways gets few
 // from each host.
 func (b *Balancer) recordLoadReport(h *host, load LoadReport) {
 	steady := h.utilizationAt > 0 && b.now-h.utilizationAt < observationTTL &&
@@ -578,7 +578,7 @@
 	if b.hostsReportInFlight() && load.InFlight >= 0 {
 		h.recordReportedInFlight(load, steady, b.now)
 		h.group.reportedInFlight = movingAverage{h.reportedInFlight, 1}
-	} else if b.manyWithoutPeerMessages() && load.Queued >= 0 {
+	} else if b.manyGatewaysWithoutPeerMessages() && load.Queued >= 0 {
 		h.group.queuedPerHost.add(load.Queued, shortTermSmoothing)
 		h.estimatedInFlight, h.estimatedInFlightAt = load.Queued+max(0, load.RequestsPerSecond*load.LatencyMs/1000), b.now
 	}
@@ -606,10 +606,10 @@
 func (b *Balancer) HopBodySent(now time.Duration, id TxID, hopIndex int) {
 	b.beginCall(now)
 	t, hop := b.openHop(id, hopIndex)
-	if hop == nil || t.hopWeight > 0 {
+	if hop == nil || t.inFlightPerHop > 0 {
 		return
 	}
-	t.hopWeight, t.deadline, hop.sentAt = 1, t.deadline+now-hop.sentAt, now
+	t.inFlightPerHop, t.deadline, hop.sentAt = 1, t.deadline+now-hop.sentAt, now
 	if hop.host.ownInFlight++; hop.host.ownInFlight == 1 {
 		hop.host.unansweredSince = now
 	}
@@ -617,7 +617,7 @@
 	b.markUnsent(hop.host)
 }
 
-// ResponseStarted ends the decisions on a transaction: its final answer is on its way.
+// ResponseStarted ends the decisions on a transaction, because its final answer is being sent.
 func (b *Balancer) ResponseStarted(now time.Duration, id TxID, _ int) {
 	b.beginCall(now)
 	if t := b.txs[id]; t != nil {
@@ -625,7 +625,7 @@
 	}
 }
 
-// ClientLeft ends a transaction whose answer nobody waits for.
+// ClientLeft ends a transaction whose client no longer waits for the answer.
 func (b *Balancer) ClientLeft(now time.Duration, id TxID) {
 	b.beginCall(now)
 	if t := b.txs[id]; t != nil {
@@ -660,7 +660,7 @@
 	return time.Duration(b.random.uniform() * float64(maxDelay))
 }
 
-// ProbeEnded takes in the load that a host reports.
+// ProbeEnded records the load that a host reported to a probe.
 func (b *Balancer) ProbeEnded(now time.Duration, id HostID, load LoadReport) {
 	b.beginCall(now)
 	switch h := b.hosts.byID[id]; {
@@ -684,13 +684,16 @@
 // the weight smoothing, but at least 1/samples. With a smoothing of 0 it stays the plain mean.
 type movingAverage struct{ value, samples float64 }
 
+// add includes a sample in the average.
 func (a *movingAverage) add(sample, smoothing float64) {
 	a.samples++
 	a.value += max(smoothing, 1/a.samples) * (sample - a.value)
 }
 
+// export returns the average in the form that is handed to the next process.
 func (a movingAverage) export() SmoothedMean { return SmoothedMean{a.value, a.samples} }
 
+// movingAverage is the inverse of movingAverage.export.
 func (m SmoothedMean) movingAverage() movingAverage { return movingAverage{m.Value, m.Samples} }
 
 // timerQueue holds functions ordered by the time at which they are due. Of those due at the same time the one added
@@ -706,6 +709,7 @@
 	run func()
 }
 
+// add inserts a function after all that are due at the same time or earlier.
 func (q *timerQueue) add(at time.Duration, run func()) {
 	i := len(q.entries)
 	for i > 0 && q.entries[i-1].at > at {
@@ -735,7 +739,7 @@
 	}
 }
 
-// schedule has a function run at a time. One timer serves all: it is set for the first.
+// schedule runs a function at the given time. One timer serves all functions: it is set for the first.
 func (b *Balancer) schedule(at time.Duration, run func()) {
 	b.timers.add(at, run)
 	b.timers.arm(b.now, b.executor.SetTimer)
@@ -775,7 +779,7 @@
 	byID                    map[HostID]*host
 	kinds                   map[string]*kindStats
 	ready                   []*host      // by ID
-	startKnown              []*host      // ready hosts whose start time is known
+	withStartTime           []*host      // ready hosts whose start time is known
 	groups                  []*zoneGroup // one for each zone, this gateway's first
 	maxCapacityHint         float64      // largest that the list gave any host
 	consecutiveListFailures int          // requests for the list in a row that failed
@@ -807,6 +811,7 @@
 	return nil
 }
 
+// ownGroup returns the group of this gateway's own zone.
 func (t *hostTable) ownGroup() *zoneGroup { return t.groups[0] }
 
 // errorFractionElsewhere returns the mean error fraction of the hosts with a closed breaker, except for one, whose own
@@ -858,13 +863,13 @@
 	return t.ownGroup()
 }
 
-// rank returns the place of a host in this gateway's order of preference, from 0 to 1, the same for all hosts where it
-// has no order of its own.
+// rank returns a number in [0, 1) by which this gateway orders its hosts, lower ones preferred. It is the same for all
+// hosts if the gateway has no order of its own.
 func (t *hostTable) rank(id HostID) float64 {
 	return ternary(t.rankSeed == 0, &randomSource{}, &randomSource{t.rankSeed, uint32(id)}).uniform()
 }
 
-// merge takes in a host list, or the changes to it, and returns the hosts that are new or have started again. The
+// merge applies a host list, or the changes to it, and returns the hosts that are new or have started again. The
 // function isGone decides on hosts that the list leaves out or calls gone.
 func (t *hostTable) merge(kind ListKind, listed []Host, isGone func(*host) bool) (added []*host) {
 	if kind != ListCached {
@@ -929,7 +934,7 @@
 	return overall
 }
 
-// updateAnswerRates takes in, by kind, how many answers this gateway got from a warm host within the last second.
+// updateAnswerRates updates, by kind, how many answers this gateway got from a warm host within the last second.
 func (t *hostTable) updateAnswerRates(isCold func(*host) bool) {
 	for _, stats := range t.kinds { // the order does not matter
 		if stats.warmHosts > 0 {
@@ -945,7 +950,7 @@
 // rebuildGroups puts the ready hosts into the groups of their zones, and drops hosts that are gone once no own hop is in
 // flight there.
 func (t *hostTable) rebuildGroups() {
-	t.ready, t.startKnown = t.ready[:0], t.startKnown[:0]
+	t.ready, t.withStartTime = t.ready[:0], t.withStartTime[:0]
 	for _, g := range t.groups {
 		g.hosts = g.hosts[:0]
 	}
@@ -959,7 +964,7 @@
 			h.group = t.groups[i]
 			t.ready, h.group.hosts = append(t.ready, h), append(h.group.hosts, h)
 			if h.StartedAt > 0 {
-				t.startKnown = append(t.startKnown, h)
+				t.withStartTime = append(t.withStartTime, h)
 			}
 		} else if h.State == HostGone && h.ownInFlight == 0 {
 			delete(t.byID, id)
@@ -972,18 +977,18 @@
 
 // kindStats is what was learned of the hosts of one kind.
 type kindStats struct {
-	weight               float64       // factor on the weight of each such host, with live capacity hints
-	inFlightPerCore      movingAverage // mean hops per core at these hosts, with live capacity hints
-	maxCapacityHint      float64       // largest that the list gave one of them: that of an idle host
-	answersThisSecond    float64       // successful hops at warm hosts in the current second
-	warmHosts            float64       // how many hosts these answers come from
-	answersPerSecond     movingAverage // by warm host
-	slots                movingAverage // hops that a full host works on at a time, where reports show it
-	meanInFlight         movingAverage // hops in flight at a host, where hosts report them and their utilization
-	uncrowdedInFlight    movingAverage // the same from reports of no more than the mean, while cores are free
-	uncrowdedUtilization movingAverage // utilization in these reports
-	overloaded           bool          // one of these hosts was overloaded: from then on the slots count as known
-	serviceTimeRatio     movingAverage // service time relative to the usual one of the profile
+	weight             float64       // factor on the weight of each such host, with live capacity hints
+	inFlightPerCore    movingAverage // mean hops per core at these hosts, with live capacity hints
+	maxCapacityHint    float64       // largest that the list gave one of them: that of an idle host
+	answersThisSecond  float64       // successful hops at warm hosts in the current second
+	warmHosts          float64       // how many hosts these answers come from
+	answersPerSecond   movingAverage // by warm host
+	slots              movingAverage // hops that a full host works on at a time, where reports show it
+	meanInFlight       movingAverage // hops in flight at a host, where hosts report them and their utilization
+	lowLoadInFlight    movingAverage // the same from reports of no more than the mean, while cores are free
+	lowLoadUtilization movingAverage // utilization in these reports
+	overloaded         bool          // one of these hosts was overloaded: from then on the slots count as known
+	serviceTimeRatio   movingAverage // service time relative to the usual one of the profile
 }
 
 // zoneGroup holds the ready hosts of one zone and what is known of them together.
@@ -1055,15 +1060,15 @@
 	latency             movingAverage // of answers, queueing included, in ns
 	utilization         float64       // as last reported
 	utilizationAt       time.Duration // when that came, 0 for never
-	lastProbedAt        time.Duration // for want of a recent report
+	lastProbedAt        time.Duration // when it was last probed because there was no recent report
 	reportedInFlight    float64       // hops of others as last reported; with live capacity hints all hops per core
 	reportedInFlightAt  time.Duration // when a host reported it, 0 for never or too long ago
 	latencyRatio        float64       // recent latency of hops relative to that at an idle host
-	latencyRatioAt      time.Duration // when that was updated
+	latencyRatioAt      time.Duration // when latencyRatio was last updated
 	estimatedInFlight   float64       // hops queued or worked on, from its reported queue, rate and latency
 	estimatedInFlightAt time.Duration // when that report came, 0 for never
 	spreadFactor        float64       // factor on the weight until the next list, with live capacity hints
-	serviceTimeRatioAt  time.Duration // when an answer or timeout last said something of that ratio
+	serviceTimeRatioAt  time.Duration // when serviceTimeRatio was last updated by an answer or timeout
 	unansweredSince     time.Duration // the later of the last answer and the first of the hops in flight
 	hostBreaker         breaker       // for all profiles
 	profileBreakers     []breaker     // by profile
@@ -1074,8 +1079,9 @@
 	return []*breaker{&h.hostBreaker, &h.profileBreakers[profile]}
 }
 
-// recordReportedLoad takes in the utilization of a host and the slots of its kind: with hops queued it works on the
-// others in flight, and without any it has at least as many slots as hops.
+// recordReportedLoad records the reported utilization of a host and the number of slots that the report shows for its
+// kind. If hops are queued, all slots are in use: their number is that of the hops in flight that aren't queued. If none
+// are, there are at least as many slots as hops in flight.
 func (h *host) recordReportedLoad(load LoadReport, now time.Duration) {
 	if load.Utilization >= 0 {
 		h.utilization, h.utilizationAt = load.Utilization, now
@@ -1089,32 +1095,32 @@
 
 // concurrencyLimit returns the number of hops in flight at which all cores of such a host are in use, 0 where that is
 // not known.
-func (m *kindStats) concurrencyLimit() float64 {
-	return ternary(m.uncrowdedUtilization.samples > 0, m.uncrowdedInFlight.value/m.uncrowdedUtilization.value, 0)
+func (s *kindStats) concurrencyLimit() float64 {
+	return ternary(s.lowLoadUtilization.samples > 0, s.lowLoadInFlight.value/s.lowLoadUtilization.value, 0)
 }
 
-// recordReportedInFlight takes in the hops of other gateways at a host, and, for the concurrency limit of its kind, its
-// hops in flight and utilization. The latter only while utilization is steady: it covers a span of time, and the hops in
+// recordReportedInFlight records the hops of other gateways at a host, and, for the concurrency limit of its kind, its
+// hops in flight and utilization. These count only while utilization is steady: it covers a span of time, and the hops in
 // flight are those at its end. At the start of a day's traffic the limit otherwise came out at three to six times its
 // value, and hosts were overloaded in the first second.
 func (h *host) recordReportedInFlight(load LoadReport, steady bool, now time.Duration) {
 	h.reportedInFlight, h.reportedInFlightAt = max(0, load.InFlight-float64(h.ownInFlight)), now
 	stats := h.kindStats
-	if stats.uncrowdedInFlight.samples == 0 {
-		stats.uncrowdedInFlight, stats.uncrowdedUtilization =
+	if stats.lowLoadInFlight.samples == 0 {
+		stats.lowLoadInFlight, stats.lowLoadUtilization =
 			movingAverage{initialConcurrencyLimit / 2, concurrencyLimitPriorSamples},
 			movingAverage{0.5, concurrencyLimitPriorSamples}
 	}
 	if load.Utilization > 0 && load.InFlight >= 1 {
 		if stats.meanInFlight.add(load.InFlight, mediumTermSmoothing); load.InFlight <= stats.meanInFlight.value &&
 			load.Utilization < maxConcurrencyLimitUtilization && steady {
-			stats.uncrowdedInFlight.add(load.InFlight, mediumTermSmoothing)
-			stats.uncrowdedUtilization.add(load.Utilization, mediumTermSmoothing)
+			stats.lowLoadInFlight.add(load.InFlight, mediumTermSmoothing)
+			stats.lowLoadUtilization.add(load.Utilization, mediumTermSmoothing)
 		}
 	}
 }
 
-// recordServiceTimeRatio takes in the service time of a hop, relative to the usual one of its profile, for the host and
+// recordServiceTimeRatio records the service time of a hop, relative to the usual one of its profile, for the host and
 // its kind.
 func (h *host) recordServiceTimeRatio(ratio float64) {
 	h.kindStats.serviceTimeRatio.add(ratio, mediumTermSmoothing)
@@ -1133,7 +1139,7 @@
 		}
 	}
 	// A few short answers do not show the least service time.
-	useLongTerm := b.hostsReportInFlight() || b.fewWithoutReports() || b.usesLiveCapacity()
+	useLongTerm := b.hostsReportInFlight() || b.fewGatewaysWithoutReports() || b.usesLiveCapacity()
 	for i := range b.serviceTime {
 		serviceTime := &b.serviceTime[i]
 		// Without new samples, as of a profile that is always rejected, the time would drift away.
@@ -1150,7 +1156,7 @@
 			typical, smoothing = b.longTermServiceTime[i], longTermSmoothing
 		}
 		switch {
-		case typical.samples == 0: // else a profile that is never answered would yield to none, and all others to it
+		case typical.samples == 0: // otherwise a profile that is never answered would yield to none, and all others to it
 		case typical.samples*smoothing < 1 && !b.sources.PeersShareInFlight &&
 			(useLongTerm || typical.value >= b.minServiceTime[i]): // the first samples may come from congestion
 			b.minServiceTime[i] = min(typical.value, initialServiceTimeGoalFraction*float64(b.profiles[i].ServiceGoal))
@@ -1287,60 +1293,65 @@
 // retryUsage counts the transactions received of a profile, and its retries: the hops beyond each transaction's first.
 type retryUsage struct{ transactions, retries slidingWindow }
 
+// countTransaction counts a transaction received now. The span is that of the retry budget.
 func (r *retryUsage) countTransaction(now, span time.Duration) { r.transactions.add(now, span) }
-func (r *retryUsage) countRetry(now, span time.Duration)       { r.retries.add(now, span) }
 
-// slotsPerWindow is the resolution of a sliding window: counts leave it by a twentieth of the span at a time.
-const slotsPerWindow = 20
+// countRetry counts a retry sent now. The span is that of the retry budget.
+func (r *retryUsage) countRetry(now, span time.Duration) { r.retries.add(now, span) }
 
-// slidingWindow counts events within the last span, by slots. There is one slot more than the span has, as the oldest
-// lies in it only partly.
+// bucketsPerWindow is the number of equal parts of a slidingWindow's span: counts expire one bucket at a time.
+const bucketsPerWindow = 20
+
+// slidingWindow counts events within the last span, in buckets. There is one bucket more than bucketsPerWindow, as the
+// oldest lies in the window only partly.
 type slidingWindow struct {
-	span       time.Duration // of the last call
-	newestSlot int64         // number of the newest slot, counted from time 0 of the Balancer
-	slots      [slotsPerWindow + 1]int32
+	span         time.Duration // of the last call
+	newestBucket int64         // number of the newest bucket, counted from time 0 of the Balancer
+	buckets      [bucketsPerWindow + 1]int32
 }
 
-// advance clears the slots that have left the window. A change of span keeps the total, as if all had come now.
+// advance clears the buckets that have left the window. A change of span keeps the total, as if all had come now.
 func (w *slidingWindow) advance(now, span time.Duration) {
 	if span <= 0 {
 		return
 	}
-	slot := int64(now) / max(1, int64(span)/slotsPerWindow)
+	bucket := int64(now) / max(1, int64(span)/bucketsPerWindow)
 	if w.span != span {
 		total := w.total()
-		*w = slidingWindow{span: span, newestSlot: slot}
-		w.slots[slot%(slotsPerWindow+1)] = int32(total)
+		*w = slidingWindow{span: span, newestBucket: bucket}
+		w.buckets[bucket%(bucketsPerWindow+1)] = int32(total)
 	}
-	for ; w.newestSlot < slot; w.newestSlot++ {
-		if slot-w.newestSlot > slotsPerWindow {
-			w.newestSlot = slot - slotsPerWindow - 1
+	for ; w.newestBucket < bucket; w.newestBucket++ {
+		if bucket-w.newestBucket > bucketsPerWindow {
+			w.newestBucket = bucket - bucketsPerWindow - 1
 		}
-		w.slots[(w.newestSlot+1)%(slotsPerWindow+1)] = 0
+		w.buckets[(w.newestBucket+1)%(bucketsPerWindow+1)] = 0
 	}
 }
 
+// add counts one event now.
 func (w *slidingWindow) add(now, span time.Duration) {
 	if w.advance(now, span); span > 0 {
-		w.slots[w.newestSlot%(slotsPerWindow+1)]++
+		w.buckets[w.newestBucket%(bucketsPerWindow+1)]++
 	}
 }
 
-// upperBound returns how many events at most came within the span: the oldest slot counts in full.
+// upperBound returns how many events at most came within the span: the oldest bucket counts in full.
 func (w *slidingWindow) upperBound(now, span time.Duration) float64 {
 	w.advance(now, span)
 	return w.total()
 }
 
-// lowerBound returns how many events at least came within the span: the oldest slot does not count.
+// lowerBound returns how many events at least came within the span: the oldest bucket does not count.
 func (w *slidingWindow) lowerBound(now, span time.Duration) float64 {
 	w.advance(now, span)
-	return w.total() - float64(w.slots[(w.newestSlot+1)%(slotsPerWindow+1)])
+	return w.total() - float64(w.buckets[(w.newestBucket+1)%(bucketsPerWindow+1)])
 }
 
+// total returns the sum of all buckets, as of the last advance.
 func (w *slidingWindow) total() float64 {
 	total := int32(0)
-	for _, count := range w.slots {
+	for _, count := range w.buckets {
 		total += count
 	}
 	return float64(total)
@@ -1404,21 +1415,21 @@
 
 // tx is the state of one transaction.
 type tx struct {
-	id            TxID
-	profile       int // index of profileConfig
-	profileConfig *Profile
-	deadline      time.Duration // when an answer earns nothing more, or the budget ends
-	hops          []hop
-	hopsInFlight  int
-	affinityKey   uint32     // of work that hosts remember, 0 for none
-	homeGroup     *zoneGroup // the zone that it arrived in
-	maxHops       int
-	hopWeight     int     // what a hop counts in flight at its host: 0 while the body arrives, or for outlierTenant
-	outlierTenant bool    // its tenant's hops are late at all hosts: they count at no host and say nothing about it
-	overShare     bool    // beyond its tenant's share
-	tenant        *tenant // nil for none
-	slowReader    bool    // its client reads the answer slowly
-	done          bool    // it has its final answer, or its response has started
+	id             TxID
+	profile        int // index of profileConfig
+	profileConfig  *Profile
+	deadline       time.Duration // when an answer earns nothing more, or the budget ends
+	hops           []hop
+	hopsInFlight   int
+	affinityKey    uint32     // of work that hosts remember, 0 for none
+	homeGroup      *zoneGroup // the zone that it arrived in
+	maxHops        int
+	inFlightPerHop int     // what a hop counts in flight at its host: 0 while the body arrives, or for outlierTenant
+	outlierTenant  bool    // its tenant's hops are late at all hosts: they count at no host and say nothing about it
+	overShare      bool    // beyond its tenant's share
+	tenant         *tenant // nil for none
+	slowReader     bool    // its client reads the answer slowly
+	done           bool    // it has its final answer, or its response has started
 }
 
 // candidate is a host in a weighted random pick. Its score is drawn so that the largest falls to each host in proportion
@@ -1452,11 +1463,11 @@
 	onFailure      func() // called when it has ended without an answer: retries or finishes
 }
 
-// settleTransaction ends the decisions on a transaction and forgets it once no hop is in flight. One that every host
+// settleTransaction ends the decisions on a transaction and deletes it once no hop is in flight. One that every host
 // answered with an error does not count towards its tenant's share, as it is hardly any work.
 func (b *Balancer) settleTransaction(t *tx) {
 	for i := range t.hops {
-		if !t.hops[i].ended && !t.done && b.hopRule.CallOff {
+		if !t.hops[i].ended && !t.done && b.hopRule.CallOffAllowed {
 			b.executor.CallOff(t.id, i)
 		}
 	}
--- a/logic/testgateway_test.go
+++ b/logic/testgateway_test.go
@@ -26,7 +26,7 @@
 
 var (
 	readProfile  = logic.Profile{Name: "read", Effect: logic.Idempotent, ServiceGoal: 400 * ms, Revenue: 1}
-	orderProfile = logic.Profile{Name: "order", Effect: logic.Journalled, DedupScope: logic.DedupSameCell, DedupWindow: 300 * ms,
+	orderProfile = logic.Profile{Name: "order", Effect: logic.Deduplicated, DedupScope: logic.DedupSameCell, DedupWindow: 300 * ms,
 		ServiceGoal: 400 * ms, Revenue: 1}
 	paymentProfile = logic.Profile{Name: "payment", Effect: logic.NonIdempotent, ServiceGoal: 400 * ms, Revenue: 1}
 )
@@ -48,7 +48,7 @@
 func startGatewayWithCosts(gatewayCount, gatewayIndex int, sources logic.InformationSources, costModel logic.CostModel,
 	profiles []logic.Profile, tenants []logic.Tenant, hosts ...logic.Host) *testGateway {
 	return startGatewayWithRules(gatewayCount, gatewayIndex, sources, costModel, logic.DrainRule{},
-		logic.HopRule{MaxHops: 3, CallOff: true, MaxRetryAfter: time.Second},
+		logic.HopRule{MaxHops: 3, CallOffAllowed: true, MaxRetryAfter: time.Second},
 		profiles, tenants, hosts...)
 }
 
