--- a/internal/protocol/encode.go
+++ b/internal/protocol/encode.go
@@ -54,7 +54,7 @@
 		return append(net.Buffers{t.forwardedHead, append(lastFields, "\r\nTransfer-Encoding: chunked\r\n\r\n"...)}, EncodeChunk(t.Body, false)...)
 	case t.RemainingBody != nil:
 		lastFields = strconv.AppendInt(append(lastFields, "\r\nContent-Length: "...), int64(t.bodyLength), 10)
-	case t.lengthGiven:
+	case t.declaresBody:
 		lastFields = strconv.AppendInt(append(lastFields, "\r\nContent-Length: "...), int64(len(t.Body)), 10)
 	}
 	return joinMessage(t.forwardedHead, append(lastFields, "\r\n\r\n"...), t.Body)
--- a/internal/protocol/hostlist.go
+++ b/internal/protocol/hostlist.go
@@ -20,14 +20,14 @@
 
 // HostEntry describes one host of a HostList.
 type HostEntry struct {
-	UID      string  `json:"uid"`
-	Endpoint string  `json:"endpoint"`
-	Zone     string  `json:"az"`
-	Model    string  `json:"model"`
-	Cell     int     `json:"pod_group"`
-	State    string  `json:"state"`
-	Size     float64 `json:"capacity_hint"`
-	BootMS   int64   `json:"boot_ms"`
+	UID          string  `json:"uid"`
+	Endpoint     string  `json:"endpoint"`
+	Zone         string  `json:"az"`
+	Model        string  `json:"model"`
+	Cell         int     `json:"pod_group"`
+	State        string  `json:"state"`
+	CapacityHint float64 `json:"capacity_hint"`
+	BootMS       int64   `json:"boot_ms"`
 }
 
 // StateTerminating is the State of a host that is draining.
@@ -57,7 +57,7 @@
 // package's clock.
 func (e *HostEntry) Host(id logic.HostID, startTime func(bootMS int64) time.Duration) logic.Host {
 	return logic.Host{ID: id, Zone: e.Zone, Kind: e.Model, Cell: e.Cell, State: hostStates[e.State],
-		CapacityHint: e.Size, StartedAt: startTime(e.BootMS)}
+		CapacityHint: e.CapacityHint, StartedAt: startTime(e.BootMS)}
 }
 
 // Paths of requests that are not transactions.
--- a/internal/protocol/transaction.go
+++ b/internal/protocol/transaction.go
@@ -27,7 +27,7 @@
 	HeadOnly      bool          // HEAD: the response has no body
 	HTTP10        bool          // the client uses HTTP/1.0 and does not understand the chunked coding
 	Close         bool          // the client closes the connection after the response
-	lengthGiven   bool          // the head has a Content-Length, which may be 0, or the chunked coding
+	declaresBody  bool          // the head has a Content-Length, which may be 0, or the chunked coding
 	bodyLength    int           // Content-Length, -1 if there is none
 	forwardedHead []byte        // start line and fields for the host, without the final empty line
 }
@@ -141,7 +141,7 @@
 		t.Effect = logic.NonIdempotent
 	}
 	_, hasContentLength := h.Get("Content-Length")
-	t.lengthGiven = hasContentLength || h.framing == framedByChunks
+	t.declaresBody = hasContentLength || h.framing == framedByChunks
 	t.TraceID, t.Profile, t.Budget = string(trace), string(profile), time.Duration(budgetMillis)*time.Millisecond
 	tenant, _ := h.Get(tenantField)
 	object, _ := h.Get(objectField)
--- a/internal/routing/discovery.go
+++ b/internal/routing/discovery.go
@@ -268,7 +268,7 @@
 			if anyDraining { // what such hosts have not sent yet may be lost with them
 				d.interruptStreams()
 			}
-			d.ready.Store(true)
+			d.hasHostList.Store(true)
 			if kind == logic.ListCached { // it may be old, and its hosts long gone
 				time.AfterFunc(freshListTimeout, d.markListReceived)
 			} else {
--- a/internal/routing/dispatcher.go
+++ b/internal/routing/dispatcher.go
@@ -31,7 +31,7 @@
 	maxReadAheadBudget int64        // its initial value
 
 	closing          atomic.Bool
-	ready            atomic.Bool
+	hasHostList      atomic.Bool
 	serving          atomic.Bool
 	listReceived     chan struct{} // closed once there is a host list
 	markListReceived func()        // closes listReceived
@@ -69,14 +69,14 @@
 	pipelined bool          // some of the client's next request has been read
 	done      chan struct{} // closed when its response is written
 
-	bodyWriters     chan *transport.BodyWriter // connected hops that a streamed body can be written to
-	bodyForwarded   bool                       // some of the body was sent and can't be sent again
-	bodyReceived    bool                       // the whole body was received
-	responseTimeout time.Duration              // for the response, from the end of the body on
-	bodyHop         *hop                       // the hop that the body is sent to
-	answered        bool                       // it has its final response, or its client has left
-	hops            []*hop
-	hopsInFlight    int
+	bodyWriters        chan *transport.BodyWriter // connected hops that a streamed body can be written to
+	bodyForwardStarted bool                       // some of the body was sent and can't be sent again
+	bodyReceived       bool                       // the whole body was received
+	responseTimeout    time.Duration              // for the response, from the end of the body on
+	bodyHop            *hop                       // the hop that the body is sent to
+	answered           bool                       // it has its final response, or its client has left
+	hops               []*hop
+	hopsInFlight       int
 }
 
 // isDone reports whether its response is written.
--- a/internal/routing/handover.go
+++ b/internal/routing/handover.go
@@ -28,9 +28,9 @@
 	Host                 logic.HostID
 	Body                 protocol.BodyState
 	Framing              protocol.StreamFraming
-	Closing              bool // the client's connection closes after the response
-	Last                 bool // the host has sent everything
-	RequestsLearnedState bool `json:"Asks"` // asks for the learned state; nothing is handed over
+	ClosesClient         bool `json:"Closing"` // the client's connection closes after the response
+	FullyRead            bool `json:"Last"`    // the host has sent everything
+	RequestsLearnedState bool `json:"Asks"`    // asks for the learned state; nothing is handed over
 }
 
 // responseStream is a response that is being streamed from a host to a client.
@@ -68,7 +68,7 @@
 	for {
 		if mayHandOver && s.readErr == nil && d.closing.Load() {
 			mayHandOver = false
-			record, err := json.Marshal(handoverRecord{Trace: s.traceID, Host: s.hostID, Body: s.body.State(), Framing: s.framing, Closing: s.closesClient, Last: s.fullyRead})
+			record, err := json.Marshal(handoverRecord{Trace: s.traceID, Host: s.hostID, Body: s.body.State(), Framing: s.framing, ClosesClient: s.closesClient, FullyRead: s.fullyRead})
 			unsent := append(bytes.Join(s.pending, nil), s.readAhead...)
 			if err == nil && transport.HandOverClient(d.handoverPath, record, unsent, s.client, s.hostConn) {
 				d.Counters.HandedOver.Add(1)
@@ -299,7 +299,7 @@
 	d.Counters.OpenTransactions.Add(1)
 	d.listener.Adopt(client, func(c *transport.Client) {
 		stream := &responseStream{traceID: record.Trace, startedAt: time.Now(), client: c, hostConn: host, hostID: record.Host, body: body, readAhead: received,
-			framing: record.Framing, closesClient: record.Closing, requestComplete: true, fullyRead: record.Last}
+			framing: record.Framing, closesClient: record.ClosesClient, requestComplete: true, fullyRead: record.FullyRead}
 		handedOver, err := d.forwardStream(stream)
 		host.Close()
 		d.Counters.OpenTransactions.Add(-1)
@@ -311,7 +311,7 @@
 			if d.Counters.ResponsesCutOff.Add(1); record.Framing == protocol.FramingClose {
 				c.Reset()
 			}
-		case !record.Closing:
+		case !record.ClosesClient:
 			c.MarkIdle()
 			d.serveClient(c)
 		}
--- a/internal/routing/interruptions_test.go
+++ b/internal/routing/interruptions_test.go
@@ -154,7 +154,7 @@
 			s.waitFor("body on its way", func() bool {
 				s.Dispatcher.mu.Lock()
 				defer s.Dispatcher.mu.Unlock()
-				return len(s.txs) == 1 && s.txs[1].bodyForwarded
+				return len(s.txs) == 1 && s.txs[1].bodyForwardStarted
 			})
 		}
 		c.Close()
--- a/internal/routing/large_fleet_test.go
+++ b/internal/routing/large_fleet_test.go
@@ -44,7 +44,7 @@
 	entries := make([]protocol.HostEntry, largeFleetSize)
 	for i := range entries {
 		entries[i] = protocol.HostEntry{UID: fmt.Sprintf("host-%08x", i), Endpoint: fmt.Sprintf("127.1.%d.%d:%d", i>>8, i&255, port),
-			Zone: "a", Model: "m2", Cell: i, State: state, Size: 1}
+			Zone: "a", Model: "m2", Cell: i, State: state, CapacityHint: 1}
 	}
 	return entries
 }
--- a/internal/routing/run.go
+++ b/internal/routing/run.go
@@ -157,7 +157,7 @@
 
 // Ready reports whether this process accepts clients.
 func (d *Dispatcher) Ready() bool {
-	return d.ready.Load() && d.serving.Load() && !d.closesClientConns()
+	return d.hasHostList.Load() && d.serving.Load() && !d.closesClientConns()
 }
 
 // closesClientConns reports whether responses announce that the connection closes.
--- a/internal/routing/send.go
+++ b/internal/routing/send.go
@@ -34,7 +34,7 @@
 	t.hops = append(t.hops, h)
 	t.hopsInFlight++
 	deadline := h.sentAt.Add(timeout)
-	if t.bodyForwarded { // the part of the body that was sent can't be sent again
+	if t.bodyForwardStarted { // the part of the body that was sent can't be sent again
 		d.afterUnlock(func() { d.endUnsentHop(h) })
 		return
 	}
@@ -86,7 +86,7 @@
 func (d *Dispatcher) offerBodyWriter(h *hop, writer *transport.BodyWriter, timeout time.Duration) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if h.tx.bodyForwarded || h.tx.answered {
+	if h.tx.bodyForwardStarted || h.tx.answered {
 		return false
 	}
 	select {
@@ -164,7 +164,7 @@
 			for len(t.bodyWriters) > 0 { // only the last hop is in flight
 				writer = <-t.bodyWriters
 			}
-			t.bodyForwarded = true
+			t.bodyForwardStarted = true
 			d.mu.Unlock()
 		}
 		n, err, buffered := early.next(buf[:])
--- a/tools/scale/gateway.go
+++ b/tools/scale/gateway.go
@@ -142,7 +142,7 @@
 	zones := makeZones(targetFleet["zones"])
 	for i := range n {
 		l.Hosts = append(l.Hosts, protocol.HostEntry{UID: fmt.Sprintf("host-%06d", i), Endpoint: fmt.Sprintf("10.%d.%d.%d:8080", i>>16, i>>8&255, i&255),
-			Zone: zones[i%len(zones)], Model: fmt.Sprintf("kind-%d", i%5), Cell: i % 97, State: "in_service", Size: 1})
+			Zone: zones[i%len(zones)], Model: fmt.Sprintf("kind-%d", i%5), Cell: i % 97, State: "in_service", CapacityHint: 1})
 	}
 	return l
 }
