--- a/internal/routing/interruptions_test.go
+++ b/internal/routing/interruptions_test.go
@@ -65,19 +65,19 @@
 		sent := 0
 		for _, profile := range []string{"read", "order", "pay"} {
 			for _, mode := range []string{"closes", "resets", "halves"} {
-				s := newGatedGateway(cancelling, "one")
-				c := s.dial()
+				gateway := newGatedGateway(cancelling, "one")
+				c := gateway.dial()
 				io.WriteString(c, requestText(profile, "go", ""))
-				<-s.dials
+				<-gateway.dials
 				closeModes[mode](c)
-				s.waitForClientsLeft(1)
-				s.gate <- true
-				s.waitFor("withdrawn", func() bool { return s.Counters.HopsWithdrawn.Load() == 1 })
-				sent += int(s.Counters.HopsWritten.Load())
-				if s.waitTimedOut() {
+				gateway.waitForClientsLeft(1)
+				gateway.gate <- true
+				gateway.waitFor("withdrawn", func() bool { return gateway.Counters.HopsWithdrawn.Load() == 1 })
+				sent += int(gateway.Counters.HopsWritten.Load())
+				if gateway.waitTimedOut() {
 					sent++
 				}
-				if n := s.Counters.HopOutcomes[logic.HopNoConnection].Load(); n != 0 {
+				if n := gateway.Counters.HopOutcomes[logic.HopNoConnection].Load(); n != 0 {
 					fmt.Println("ends that speak against the host:", n)
 				}
 			}
@@ -94,21 +94,21 @@
 // the rest comes while the first is in flight.
 func Example_clientLeavesWhilePipelining() {
 	for _, separately := range []bool{false, true} {
-		s := newTestGateway("one")
-		c := s.dial()
+		gateway := newTestGateway("one")
+		c := gateway.dial()
 		first, second := requestText("pay", "wait", ""), requestText("pay", "second", "")
 		if separately {
 			io.WriteString(c, first)
-			s.waitForLine("one: POST /pay?wait")
+			gateway.waitForLine("one: POST /pay?wait")
 			io.WriteString(c, second+strings.Repeat(second, 400)) // more than is read ahead
 		} else {
 			io.WriteString(c, first+second)
-			s.waitForLine("one: POST /pay?wait")
+			gateway.waitForLine("one: POST /pay?wait")
 		}
 		c.Close()
-		s.waitForClientsLeft(1)
-		s.waitFor("all closed", func() bool { return s.listener.OpenClients() == 0 })
-		fmt.Println("sent:", s.Counters.Hops.Load(), "left:", s.Counters.ClientLeft.Load(), s.waitTimedOut())
+		gateway.waitForClientsLeft(1)
+		gateway.waitFor("all closed", func() bool { return gateway.listener.OpenClients() == 0 })
+		fmt.Println("sent:", gateway.Counters.Hops.Load(), "left:", gateway.Counters.ClientLeft.Load(), gateway.waitTimedOut())
 	}
 	// Output:
 	// sent: 1 left: 1 false
@@ -118,25 +118,25 @@
 // A request that waits to be accepted, as the listener is at its limit, is not admitted once its
 // client has closed.
 func Example_clientLeavesBeforeAccept() {
-	s := newTestGateway("one")
-	c := s.dial()
+	gateway := newTestGateway("one")
+	c := gateway.dial()
 	io.WriteString(c, "GET /ready HTTP/1.1\r\nConnection: close\r\n\r\n")
-	s.logResponse(c, "ready")
-	s.listener.Shutdown()
-	s.waitFor("the end", s.listener.Finished)
+	gateway.logResponse(c, "ready")
+	gateway.listener.Shutdown()
+	gateway.waitFor("the end", gateway.listener.Finished)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		panic(err)
 	}
-	s.ConfigureListener(ln, false, 400, 0, 2<<20)
+	gateway.ConfigureListener(ln, false, 400, 0, 2<<20)
 	for _, mode := range []string{"closes", "resets", "halves"} {
-		c := s.dial()
+		c := gateway.dial()
 		io.WriteString(c, requestText("pay", "go", ""))
 		closeModes[mode](c)
 	}
-	go s.listener.Serve(s.serveClient)
-	s.waitFor("all closed", func() bool { return s.listener.Accepted.Load() == 3 && s.listener.OpenClients() == 0 })
-	fmt.Println("taken:", s.Counters.Admitted.Load(), "sent:", s.Counters.Hops.Load(), s.waitTimedOut())
+	go gateway.listener.Serve(gateway.serveClient)
+	gateway.waitFor("all closed", func() bool { return gateway.listener.Accepted.Load() == 3 && gateway.listener.OpenClients() == 0 })
+	fmt.Println("taken:", gateway.Counters.Admitted.Load(), "sent:", gateway.Counters.Hops.Load(), gateway.waitTimedOut())
 	// Output: taken: 0 sent: 0 false
 }
 
@@ -144,27 +144,27 @@
 // once. Otherwise a host keeps half a request for an hour if nothing may be called off.
 func Example_clientLeavesDuringBody() {
 	for _, connected := range []bool{false, true} {
-		s := newGatedGateway(false, "one")
-		s.bodyBudget.Store(0) // no budget to hold any body
-		c := s.dial()
+		gateway := newGatedGateway(false, "one")
+		gateway.bodyBudget.Store(0) // no budget to hold any body
+		c := gateway.dial()
 		io.WriteString(c, strings.Replace(requestText("pay", "go", ""), "Length: 2", "Length: 100000", 1)+strings.Repeat("a", 50_000))
-		<-s.dials
+		<-gateway.dials
 		if connected {
-			s.gate <- true
-			s.waitFor("body on its way", func() bool {
-				s.Dispatcher.mu.Lock()
-				defer s.Dispatcher.mu.Unlock()
-				return len(s.txs) == 1 && s.txs[1].bodyForwardStarted
+			gateway.gate <- true
+			gateway.waitFor("body on its way", func() bool {
+				gateway.Dispatcher.mu.Lock()
+				defer gateway.Dispatcher.mu.Unlock()
+				return len(gateway.txs) == 1 && gateway.txs[1].bodyForwardStarted
 			})
 		}
 		c.Close()
-		s.waitForClientsLeft(1)
+		gateway.waitForClientsLeft(1)
 		if !connected {
-			s.gate <- true
+			gateway.gate <- true
 		}
-		s.waitFor("withdrawn", func() bool { return s.Counters.HopsWithdrawn.Load() == 1 && s.listener.OpenClients() == 0 })
-		s.waitFor("its socket is free", func() bool { return s.connLimit.InUse() == 0 })
-		fmt.Println("some passed on:", connected, "written whole:", s.Counters.HopsWritten.Load(), s.waitTimedOut())
+		gateway.waitFor("withdrawn", func() bool { return gateway.Counters.HopsWithdrawn.Load() == 1 && gateway.listener.OpenClients() == 0 })
+		gateway.waitFor("its socket is free", func() bool { return gateway.connLimit.InUse() == 0 })
+		fmt.Println("some passed on:", connected, "written whole:", gateway.Counters.HopsWritten.Load(), gateway.waitTimedOut())
 	}
 	// Output:
 	// some passed on: false written whole: 0 false
@@ -174,39 +174,39 @@
 // A transaction that waits for another gateway to pick its host is not sent once its client has left,
 // nor is it retried at the next host when the hop in flight ends.
 func Example_clientLeavesDuringPickOrHop() {
-	s := newTestGatewayWith(strings.Replace(testSettings, `"balancers":2`, `"me":1,"balancers":21`, 1), "one")
-	s.callCore(func(time.Duration) { // from here on the test runs the core's timer
-		s.timer.Stop()
-		s.timer = time.AfterFunc(time.Hour, func() {})
+	gateway := newTestGatewayWith(strings.Replace(testSettings, `"balancers":2`, `"me":1,"balancers":21`, 1), "one")
+	gateway.callCore(func(time.Duration) { // from here on the test runs the core's timer
+		gateway.timer.Stop()
+		gateway.timer = time.AfterFunc(time.Hour, func() {})
 	})
-	c := s.dial()
+	c := gateway.dial()
 	io.WriteString(c, requestText("pay", "go", ""))
-	s.waitFor("taken", func() bool { return s.Counters.Admitted.Load() == 1 })
+	gateway.waitFor("taken", func() bool { return gateway.Counters.Admitted.Load() == 1 })
 	c.Close()
-	s.waitForClientsLeft(1)
+	gateway.waitForClientsLeft(1)
 	for end := time.Now().Add(300 * time.Millisecond); time.Now().Before(end); { // the pick request times out within this time
-		s.callCore(func(now time.Duration) { s.core.TimerFired(now) })
+		gateway.callCore(func(now time.Duration) { gateway.core.TimerFired(now) })
 	}
-	fmt.Println("asks unanswered, sent:", s.Counters.Hops.Load())
+	fmt.Println("asks unanswered, sent:", gateway.Counters.Hops.Load())
 
-	s = newTestGatewayWith(strings.Replace(testSettings, `"cancelling":true`, `"cancelling":false`, 1), "one", "two")
+	gateway = newTestGatewayWith(strings.Replace(testSettings, `"cancelling":true`, `"cancelling":false`, 1), "one", "two")
 	goOn := make(chan bool)
-	entry := s.startScriptedHost(func(nc net.Conn, head *http.Request) {
-		s.logf("has it")
+	entry := gateway.startScriptedHost(func(nc net.Conn, head *http.Request) {
+		gateway.logf("has it")
 		<-goOn
 		io.WriteString(nc, "HTTP/1.1 503 no\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n")
 	})
 	other := entry
 	other.UID = "other"
-	s.applyList(s.discovery.conn, logic.ListComplete, &protocol.HostList{Revision: 5, Full: true, Hosts: []protocol.HostEntry{entry, other}})
-	c = s.dial()
+	gateway.applyList(gateway.discovery.conn, logic.ListComplete, &protocol.HostList{Revision: 5, Full: true, Hosts: []protocol.HostEntry{entry, other}})
+	c = gateway.dial()
 	io.WriteString(c, requestText("pay", "go", ""))
-	s.waitForLine("has it")
+	gateway.waitForLine("has it")
 	c.Close()
-	s.waitForClientsLeft(1)
+	gateway.waitForClientsLeft(1)
 	goOn <- true
-	s.waitFor("turned away", func() bool { return s.Counters.HopOutcomes[logic.HopHostFull].Load() == 1 })
-	fmt.Println("turned away by the first, sent:", s.Counters.Hops.Load())
+	gateway.waitFor("turned away", func() bool { return gateway.Counters.HopOutcomes[logic.HopHostFull].Load() == 1 })
+	fmt.Println("turned away by the first, sent:", gateway.Counters.Hops.Load())
 	// Output:
 	// asks unanswered, sent: 0
 	// turned away by the first, sent: 1
@@ -215,19 +215,19 @@
 // A host that drains while a connection to it comes up gets nothing on that connection: the grace
 // period may be over by then. The hop never ran, so even a payment is retried at the next host.
 func Example_hostDrainsDuringConnect() {
-	s := newGatedGateway(true, "one", "two")
-	c := s.dial()
+	gateway := newGatedGateway(true, "one", "two")
+	c := gateway.dial()
 	io.WriteString(c, requestText("pay", "go", ""))
-	<-s.dials
+	<-gateway.dials
 	var first logic.HostID
-	s.callCore(func(time.Duration) { first = s.txs[1].hops[0].hostID })
-	uid := s.discovery.uidByID[first]
-	s.applyList(s.discovery.conn, logic.ListChanges, &protocol.HostList{Revision: 5, Hosts: []protocol.HostEntry{
-		{UID: uid, Endpoint: s.discovery.addrByID[first], Zone: "a", State: "terminating"}}})
-	s.gate <- true
-	s.gate <- true
-	s.logResponse(c, "pay")
-	fmt.Println("to the draining one:", strings.Count(strings.Join(s.log, "\n"), uid+": POST"), "withdrawn:", s.Counters.HopsWithdrawn.Load(), s.log[len(s.log)-1])
+	gateway.callCore(func(time.Duration) { first = gateway.txs[1].hops[0].hostID })
+	uid := gateway.discovery.uidByID[first]
+	gateway.applyList(gateway.discovery.conn, logic.ListChanges, &protocol.HostList{Revision: 5, Hosts: []protocol.HostEntry{
+		{UID: uid, Endpoint: gateway.discovery.addrByID[first], Zone: "a", State: "terminating"}}})
+	gateway.gate <- true
+	gateway.gate <- true
+	gateway.logResponse(c, "pay")
+	fmt.Println("to the draining one:", strings.Count(strings.Join(gateway.log, "\n"), uid+": POST"), "withdrawn:", gateway.Counters.HopsWithdrawn.Load(), gateway.log[len(gateway.log)-1])
 	// Output: to the draining one: 0 withdrawn: 1 pay: 200 "answer to go"
 }
 
@@ -237,17 +237,17 @@
 func BenchmarkClientLeavesDuringConnect(b *testing.B) {
 	var longest time.Duration
 	for range b.N {
-		s := newGatedGateway(false, "one")
-		c := s.dial()
+		gateway := newGatedGateway(false, "one")
+		c := gateway.dial()
 		io.WriteString(c, requestText("pay", "go", "")+requestText("pay", "second", ""))
-		<-s.dials
+		<-gateway.dials
 		c.Close()
 		closedAt := time.Now()
-		s.waitForClientsLeft(1)
+		gateway.waitForClientsLeft(1)
 		longest = max(longest, time.Since(closedAt))
-		s.gate <- true
-		s.waitFor("withdrawn", func() bool { return s.Counters.HopsWithdrawn.Load() == 1 })
-		if n := s.Counters.HopsWritten.Load(); n > 0 {
+		gateway.gate <- true
+		gateway.waitFor("withdrawn", func() bool { return gateway.Counters.HopsWithdrawn.Load() == 1 })
+		if n := gateway.Counters.HopsWritten.Load(); n > 0 {
 			b.Error("sent:", n)
 		}
 	}
@@ -259,7 +259,7 @@
 // call the core decides when to call again.
 func Example_watchFailures() {
 	for _, failure := range []string{"silence", "dribbling", "reset", "torn", "refusal"} {
-		s, calls, first := newTestGateway("one"), make(chan string, 9), make(chan time.Time, 1)
+		gateway, calls, first := newTestGateway("one"), make(chan string, 9), make(chan time.Time, 1)
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			panic(err)
@@ -299,10 +299,10 @@
 				}
 			}
 		}()
-		s.callCore(func(time.Duration) { s.changeDiscoveryAddr(ln.Addr().String()) })
+		gateway.callCore(func(time.Duration) { gateway.changeDiscoveryAddr(ln.Addr().String()) })
 		fmt.Println(failure, <-calls, <-calls)
 		began := <-first
-		fmt.Println(<-calls, "in time:", time.Since(began) < listWatchDuration+2*time.Second, "again at once:", s.Counters.ListCallsRetried.Load(), "for the module:", s.Counters.ListCallsFailed.Load())
+		fmt.Println(<-calls, "in time:", time.Since(began) < listWatchDuration+2*time.Second, "again at once:", gateway.Counters.ListCallsRetried.Load(), "for the module:", gateway.Counters.ListCallsFailed.Load())
 	}
 	// Output:
 	// silence /v1/endpoints /v1/endpoints?index=5&wait=3000
@@ -320,20 +320,20 @@
 // A list older than the current one is not applied, and the whole list is requested. If that is older
 // too, discovery has restarted; a host that was draining still is, unless it has restarted since.
 func Example_staleList() {
-	s := newTestGateway("one", "two", "three")
+	gateway := newTestGateway("one", "two", "three")
 	entry := func(uid, state string, boot int64) string {
 		return fmt.Sprintf(`{"uid":%q,"az":"a","endpoint":"127.0.0.1:1","state":%q,"boot_ms":%d}`, uid, state, boot)
 	}
-	s.discoveryResponses <- `{"rev":9,"targets":[` + entry("one", "terminating", 0) + "," + entry("two", "terminating", 0) + `]}`
-	s.waitForRevision(9)
+	gateway.discoveryResponses <- `{"rev":9,"targets":[` + entry("one", "terminating", 0) + "," + entry("two", "terminating", 0) + `]}`
+	gateway.waitForRevision(9)
 	older := entry("one", "in_service", 0) + "," + entry("two", "in_service", 1_000_000) + "," + entry("three", "in_service", 0)
-	s.discoveryResponses <- `{"rev":3,"targets":[` + older + `]}`
-	s.waitFor("not taken", func() bool { return s.Counters.ListsStale.Load() == 1 })
-	s.discoveryResponses <- `{"rev":3,"all":true,"targets":[` + older + `]}`
-	s.waitForRevision(3)
-	s.printLog()
+	gateway.discoveryResponses <- `{"rev":3,"targets":[` + older + `]}`
+	gateway.waitFor("not taken", func() bool { return gateway.Counters.ListsStale.Load() == 1 })
+	gateway.discoveryResponses <- `{"rev":3,"all":true,"targets":[` + older + `]}`
+	gateway.waitForRevision(3)
+	gateway.printLog()
 	for _, uid := range []string{"one", "two", "three"} {
-		fmt.Println(uid, "takes what is new:", s.discovery.acceptsNewHops(s.discovery.idByUID[uid]))
+		fmt.Println(uid, "takes what is new:", gateway.discovery.acceptsNewHops(gateway.discovery.idByUID[uid]))
 	}
 	// Output:
 	// discovery: /v1/endpoints?index=4&wait=3000
@@ -347,30 +347,30 @@
 // A drain notice from the previous address of discovery counts until the new address answers; nothing
 // else from there does.
 func Example_drainNoticeAtOldAddress() {
-	s := newTestGateway("one", "two")
-	s.waitFor("a call", func() bool { return s.Counters.ListCalls.Load() == 1 })
+	gateway := newTestGateway("one", "two")
+	gateway.waitFor("a call", func() bool { return gateway.Counters.ListCalls.Load() == 1 })
 	moved, answer := make(chan bool), make(chan bool)
-	at := s.startServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	at := gateway.startServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		moved <- true
 		<-answer
 		io.WriteString(w, `{"rev":1,"all":true,"targets":[]}`)
 	}))
-	s.callCore(func(time.Duration) { s.changeDiscoveryAddr(at) })
+	gateway.callCore(func(time.Duration) { gateway.changeDiscoveryAddr(at) })
 	<-moved // the call has arrived and is not answered yet
-	s.discoveryResponses <- `{"rev":5,"targets":[{"uid":"one","az":"a","state":"terminating"},{"uid":"new","az":"a","state":"in_service"}]}`
-	s.waitFor("goes", func() bool {
-		s.Dispatcher.mu.Lock()
-		defer s.Dispatcher.mu.Unlock()
-		return !s.discovery.acceptsNewHops(s.discovery.idByUID["one"])
+	gateway.discoveryResponses <- `{"rev":5,"targets":[{"uid":"one","az":"a","state":"terminating"},{"uid":"new","az":"a","state":"in_service"}]}`
+	gateway.waitFor("goes", func() bool {
+		gateway.Dispatcher.mu.Lock()
+		defer gateway.Dispatcher.mu.Unlock()
+		return !gateway.discovery.acceptsNewHops(gateway.discovery.idByUID["one"])
 	})
 	for range 3 {
-		s.roundTrip("pay", "go")
+		gateway.roundTrip("pay", "go")
 	}
-	s.printLog()
-	fmt.Println("known:", len(s.discovery.addrByID))
+	gateway.printLog()
+	fmt.Println("known:", len(gateway.discovery.addrByID))
 	answer <- true
-	s.waitForRevision(1)
-	fmt.Println("known:", len(s.discovery.addrByID), "lost:", s.Counters.ListCallsFailed.Load())
+	gateway.waitForRevision(1)
+	fmt.Println("known:", len(gateway.discovery.addrByID), "lost:", gateway.Counters.ListCallsFailed.Load())
 	// Output:
 	// discovery: /v1/endpoints?index=4&wait=3000
 	// two: POST /pay?go "hi"
@@ -387,25 +387,25 @@
 // the hop: the timer, with everything else that is due, or the receiver of peer messages.
 func Example_longMessageDoesNotBlock() {
 	goOn, host := make(chan bool), logic.HostID(0)
-	s := newGatewayWithScriptedHost(func(nc net.Conn, head *http.Request) {
+	gateway := newGatewayWithScriptedHost(func(nc net.Conn, head *http.Request) {
 		if head.Method == "POST" {
 			<-goOn
 			io.Copy(io.Discard, head.Body)
 		}
 		io.WriteString(nc, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	})
-	s.roundTrip("read", "go")
-	s.callCore(func(time.Duration) { host = s.discovery.idByUID["scripted"] })
+	gateway.roundTrip("read", "go")
+	gateway.callCore(func(time.Duration) { host = gateway.discovery.idByUID["scripted"] })
 	done := make(chan transport.Outcome, 1)
-	s.callCore(func(time.Duration) {
-		s.startExchange(s.discovery.targetOf(host), &transport.Exchange{Deadline: time.Now().Add(5 * time.Second), OnDone: func(how transport.Outcome) { done <- how },
+	gateway.callCore(func(time.Duration) {
+		gateway.startExchange(gateway.discovery.targetOf(host), &transport.Exchange{Deadline: time.Now().Add(5 * time.Second), OnDone: func(how transport.Outcome) { done <- how },
 			BuildMessage: func() net.Buffers {
 				return net.Buffers{[]byte("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 8388608\r\n\r\n"), testBytes(8 * megabyte)}
 			},
 			ReadResponse: func(r *bufio.Reader) (bool, error) { _, err := http.ReadResponse(r, nil); return true, err }}, true)
 	})
 	goOn <- true
-	fmt.Println("answered:", <-done == transport.OutcomeAnswered, "on connections:", s.pool.Opened.Load())
+	fmt.Println("answered:", <-done == transport.OutcomeAnswered, "on connections:", gateway.pool.Opened.Load())
 	// Output: answered: true on connections: 1
 }
 
@@ -414,14 +414,14 @@
 // the drain's grace.
 func Example_pushedListRetry() {
 	pushed := strings.NewReplacer("subscribe", "automatic", `"askWithin"`, `"drainGrace":300000,"askWithin"`).Replace(testSettings)
-	s := newTestGatewayWith(pushed, "one")
+	gateway := newTestGatewayWith(pushed, "one")
 	began := time.Now()
 	for range 5 { // discovery is down
-		s.discoveryResponses <- ""
+		gateway.discoveryResponses <- ""
 	}
-	s.discoveryResponses <- `{"rev":5,"targets":[{"uid":"one","az":"a","state":"terminating"}]}`
-	s.waitForRevision(5)
-	fmt.Println("lost:", s.Counters.ListCallsFailed.Load(), "in time:", time.Since(began) < 5*300*time.Millisecond)
+	gateway.discoveryResponses <- `{"rev":5,"targets":[{"uid":"one","az":"a","state":"terminating"}]}`
+	gateway.waitForRevision(5)
+	fmt.Println("lost:", gateway.Counters.ListCallsFailed.Load(), "in time:", time.Since(began) < 5*300*time.Millisecond)
 	// Output: lost: 5 in time: true
 }
 
@@ -429,7 +429,7 @@
 // client may receive it. An error status before the end of the request is a response to it.
 func Example_responseBeforeRequest() {
 	for _, answer := range []string{"200 OK", "200 long", "400 no"} {
-		s := newGatewayWithScriptedHost(func(nc net.Conn, head *http.Request) {
+		gateway := newGatewayWithScriptedHost(func(nc net.Conn, head *http.Request) {
 			stray := "stray"
 			if answer == "200 long" { // it is streamed
 				stray = strings.Repeat(stray, 14_000)
@@ -437,12 +437,12 @@
 			fmt.Fprintf(nc, "HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", answer, len(stray), stray)
 			io.Copy(io.Discard, nc)
 		})
-		s.bodyBudget.Store(0) // no budget to hold any body
-		c := s.dial()
+		gateway.bodyBudget.Store(0) // no budget to hold any body
+		c := gateway.dial()
 		io.WriteString(c, strings.Replace(requestText("pay", "go", ""), "Length: 2", "Length: 100000", 1)+strings.Repeat("a", 50_000))
-		s.logResponse(c, answer)
-		s.printLog()
-		fmt.Println("never ran:", s.Counters.HopOutcomes[logic.HopHostFull].Load()+s.Counters.HopOutcomes[logic.HopNoConnection].Load(), "streamed:", s.Counters.ResponsesStreamed.Load(), "committed:", s.Counters.Committed.Load())
+		gateway.logResponse(c, answer)
+		gateway.printLog()
+		fmt.Println("never ran:", gateway.Counters.HopOutcomes[logic.HopHostFull].Load()+gateway.Counters.HopOutcomes[logic.HopNoConnection].Load(), "streamed:", gateway.Counters.ResponsesStreamed.Load(), "committed:", gateway.Counters.Committed.Load())
 		c.Close()
 	}
 	// Output:
@@ -456,23 +456,23 @@
 
 // During shutdown the gateway sends nothing for a client that leaves, and answers the one that stays.
 func Example_clientLeavesDuringShutdown() {
-	s := newGatedGateway(false, "one")
-	leaving, staying := s.dial(), s.dial()
+	gateway := newGatedGateway(false, "one")
+	leaving, staying := gateway.dial(), gateway.dial()
 	io.WriteString(leaving, requestText("pay", "goes", ""))
-	<-s.dials
+	<-gateway.dials
 	io.WriteString(staying, requestText("pay", "stays", ""))
-	<-s.dials
+	<-gateway.dials
 	ended := make(chan bool)
-	go func() { s.Close(); close(ended) }()
-	s.waitFor("the end", s.closing.Load)
+	go func() { gateway.Close(); close(ended) }()
+	gateway.waitFor("the end", gateway.closing.Load)
 	leaving.Close()
-	s.waitForClientsLeft(1)
-	s.gate <- true
-	s.gate <- true
-	s.logResponse(staying, "stays")
+	gateway.waitForClientsLeft(1)
+	gateway.gate <- true
+	gateway.gate <- true
+	gateway.logResponse(staying, "stays")
 	<-ended
-	s.printLog()
-	fmt.Println("written:", s.Counters.HopsWritten.Load(), "open:", s.Counters.OpenTransactions.Load())
+	gateway.printLog()
+	fmt.Println("written:", gateway.Counters.HopsWritten.Load(), "open:", gateway.Counters.OpenTransactions.Load())
 	// Output:
 	// one: POST /pay?stays "hi"
 	// stays: 200 "answer to stays", the last
@@ -486,17 +486,17 @@
 		"connectTimeout", "connIdle", "maxRetryAfter"} {
 		for _, value := range []string{"0", "-5"} {
 			changed := regexp.MustCompile(`"`+key+`":[0-9.]+`).ReplaceAllString(testSettings, `"`+key+`":`+value)
-			s := newTestGatewayWith(changed, "one", "two")
+			gateway := newTestGatewayWith(changed, "one", "two")
 			for _, profile := range []string{"read", "order", "pay"} {
-				s.roundTrip(profile, "go")
-				s.roundTrip(profile, "error")
+				gateway.roundTrip(profile, "go")
+				gateway.roundTrip(profile, "error")
 			}
-			s.waitFor("none open", func() bool { return s.Counters.OpenTransactions.Load() == 0 })
-			responses, log := 0, fmt.Sprint(s.log)
+			gateway.waitFor("none open", func() bool { return gateway.Counters.OpenTransactions.Load() == 0 })
+			responses, log := 0, fmt.Sprint(gateway.log)
 			for _, status := range []string{": 200", ": 503", ": 504"} {
 				responses += strings.Count(log, status)
 			}
-			if responses != 6 || strings.Count(log, "POST /pay?error") > 1 || s.waitTimedOut() {
+			if responses != 6 || strings.Count(log, "POST /pay?error") > 1 || gateway.waitTimedOut() {
 				fmt.Println(key, value, log)
 			}
 		}
@@ -508,25 +508,25 @@
 // idle, and not only after the idle timeout.
 func Example_hostGoneWithHopInFlight() {
 	goOn, closed := make(chan bool), make(chan bool)
-	s := newGatewayWithScriptedHost(func(nc net.Conn, head *http.Request) {
-		s := "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+	gateway := newGatewayWithScriptedHost(func(nc net.Conn, head *http.Request) {
+		gateway := "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 		<-goOn
-		io.WriteString(nc, s)
+		io.WriteString(nc, gateway)
 		nc.Read(make([]byte, 1))
 		close(closed)
 	})
-	c := s.dial()
+	c := gateway.dial()
 	defer c.Close()
 	io.WriteString(c, requestText("pay", "go", ""))
-	s.waitFor("out", func() bool { return s.Counters.HopsWritten.Load() == 1 })
-	s.applyList(s.discovery.conn, logic.ListChanges, &protocol.HostList{Revision: 6, Hosts: []protocol.HostEntry{{UID: "scripted", Zone: "a", State: "terminated"}}})
+	gateway.waitFor("out", func() bool { return gateway.Counters.HopsWritten.Load() == 1 })
+	gateway.applyList(gateway.discovery.conn, logic.ListChanges, &protocol.HostList{Revision: 6, Hosts: []protocol.HostEntry{{UID: "scripted", Zone: "a", State: "terminated"}}})
 	goOn <- true
-	s.logResponse(c, "pay")
+	gateway.logResponse(c, "pay")
 	select {
 	case <-closed:
 	case <-time.After(time.Second): // half of the idle timeout is 2 s
-		s.logf("kept")
+		gateway.logf("kept")
 	}
-	s.printLog()
+	gateway.printLog()
 	// Output: pay: 200 ""
 }
--- a/internal/routing/large_fleet_test.go
+++ b/internal/routing/large_fleet_test.go
@@ -64,14 +64,14 @@
 }
 
 // checkGrowth reports growth over the bounds; testGoroutines are not counted.
-func (c resourceUsage) checkGrowth(t *testing.T, testGoroutines int) {
+func (before resourceUsage) checkGrowth(t *testing.T, testGoroutines int) {
 	t.Helper()
 	now := measureUsage()
-	t.Logf("live heap %d KB more, goroutines %d more", (int64(now.heap)-int64(c.heap))>>10, now.goroutines-c.goroutines-testGoroutines)
-	if now.heap > c.heap+maxLargeFleetHeapBytes {
-		t.Errorf("live heap grew by %d KB", (now.heap-c.heap)>>10)
+	t.Logf("live heap %d KB more, goroutines %d more", (int64(now.heap)-int64(before.heap))>>10, now.goroutines-before.goroutines-testGoroutines)
+	if now.heap > before.heap+maxLargeFleetHeapBytes {
+		t.Errorf("live heap grew by %d KB", (now.heap-before.heap)>>10)
 	}
-	if n := now.goroutines - c.goroutines - testGoroutines; n > maxLargeFleetGoroutines {
+	if n := now.goroutines - before.goroutines - testGoroutines; n > maxLargeFleetGoroutines {
 		t.Errorf("%d more goroutines", n)
 	}
 }
--- a/internal/routing/list_propagation_test.go
+++ b/internal/routing/list_propagation_test.go
@@ -412,32 +412,32 @@
 // only host gets a request before the failure, and another is sent once the drain is known or has to
 // be.
 func logAcrossDiscoveryFailure(fault string, gateways int, address string) string {
-	s := newTestGatewayWith(strings.NewReplacer(`"balancers":2`, fmt.Sprintf(`"balancers":%d`, gateways), `"askWithin":200000`,
+	gateway := newTestGatewayWith(strings.NewReplacer(`"balancers":2`, fmt.Sprintf(`"balancers":%d`, gateways), `"askWithin":200000`,
 		`"askWithin":10000000`, `"mayTell":true`, `"mayTell":false`).Replace(testSettings))
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
 		panic(err)
 	}
 	d := &failingDiscovery{fault: fault, addr: ln.Addr().String(), ln: ln, watchWaiting: make(chan bool, 9), fail: make(chan bool)}
-	d.host = s.startServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	d.host = gateway.startServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasPrefix(r.URL.Path, "/pay") { // otherwise it is meant for the previous user of this port, in another process
-			s.serveHost("one", w, r)
+			gateway.serveHost("one", w, r)
 		}
 	}))
 	go d.serve()
-	s.callCore(func(time.Duration) { s.changeDiscoveryAddr(d.addr) })
+	gateway.callCore(func(time.Duration) { gateway.changeDiscoveryAddr(d.addr) })
 	<-d.watchWaiting
-	s.roundTrip("pay", "go")
+	gateway.roundTrip("pay", "go")
 	d.changedAt = time.Now()
 	if fault == "down" || fault == "refuses" || fault == "mute" {
 		d.changedAt = d.changedAt.Add(outageDuration)
 	}
 	close(d.fail)
 	for known := false; !known && time.Since(d.changedAt) < maxPropagationTime; time.Sleep(10 * time.Millisecond) {
-		s.callCore(func(time.Duration) { known = !s.discovery.acceptsNewHops(s.discovery.idByUID["one"]) })
+		gateway.callCore(func(time.Duration) { known = !gateway.discovery.acceptsNewHops(gateway.discovery.idByUID["one"]) })
 	}
-	s.roundTrip("pay", "after")
-	return strings.Join(s.log, "; ")
+	gateway.roundTrip("pay", "after")
+	return strings.Join(gateway.log, "; ")
 }
 
 // The same over sockets, for each kind of failure: 6 s after discovery has the drain and can be
@@ -474,13 +474,13 @@
 // A discovery that returns the same list again at once, as one that doesn't support watches, is called
 // with pauses.
 func Example_unchangedListRepeated() {
-	s := newTestGateway("one")
+	gateway := newTestGateway("one")
 	for range 5 {
-		s.discoveryResponses <- `{"rev":5,"all":true,"targets":[{"uid":"one","az":"a","state":"terminating"}]}`
+		gateway.discoveryResponses <- `{"rev":5,"all":true,"targets":[{"uid":"one","az":"a","state":"terminating"}]}`
 	}
-	s.waitForRevision(5)
+	gateway.waitForRevision(5)
 	began := time.Now()
-	s.waitFor("five more calls", func() bool { return s.Counters.ListCalls.Load() >= 6 })
+	gateway.waitFor("five more calls", func() bool { return gateway.Counters.ListCalls.Load() >= 6 })
 	fmt.Println("pauses:", time.Since(began) >= 4*minListCallPause)
 	// Output: pauses: true
 }
@@ -489,12 +489,12 @@
 // backoff timer calls as well. When each failure was reported, there was one more call in flight after
 // each, and 60 gateways made 189 calls a second to an overloaded discovery.
 func Example_refusedCallsDoNotMultiply() {
-	s := newTestGatewayWith(strings.NewReplacer(`"balancers":2`, `"balancers":300`, `"askWithin":200000`, `"askWithin":10000000`, `"mayTell":true`,
+	gateway := newTestGatewayWith(strings.NewReplacer(`"balancers":2`, `"balancers":300`, `"askWithin":200000`, `"askWithin":10000000`, `"mayTell":true`,
 		`"mayTell":false`).Replace(testSettings), "one")
-	refuses := s.startServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(503) }))
-	s.callCore(func(time.Duration) { s.changeDiscoveryAddr(refuses) })
+	refuses := gateway.startServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(503) }))
+	gateway.callCore(func(time.Duration) { gateway.changeDiscoveryAddr(refuses) })
 	time.Sleep(9 * time.Second)
-	calls := s.Counters.ListCalls.Load() // the backoff allows one call a second, and the core as many at most
+	calls := gateway.Counters.ListCalls.Load() // the backoff allows one call a second, and the core as many at most
 	fmt.Println("had again:", calls >= 4, "no more than both would:", calls <= 18)
 	// Output: had again: true no more than both would: true
 }
--- a/internal/routing/operations_test.go
+++ b/internal/routing/operations_test.go
@@ -17,34 +17,34 @@
 // soon, and the gateway is not ready until clients are accepted again. A connection that was told to
 // close in between closes.
 func ExampleDispatcher_SetDraining() {
-	s := newTestGateway("one")
+	gateway := newTestGateway("one")
 	ready := func() {
-		c := s.dial()
+		c := gateway.dial()
 		defer c.Close()
 		io.WriteString(c, "GET /ready HTTP/1.1\r\n\r\n")
-		s.logResponse(c, "ready")
+		gateway.logResponse(c, "ready")
 	}
-	idle, busy, later := s.dial(), s.dial(), s.dial()
+	idle, busy, later := gateway.dial(), gateway.dial(), gateway.dial()
 	for _, c := range []*clientConn{idle, later} {
 		io.WriteString(c, requestText("read", "go", ""))
-		s.logResponse(c, "before")
+		gateway.logResponse(c, "before")
 	}
 	io.WriteString(busy, requestText("read", "slow", ""))
-	s.waitForLine("one: GET /read?slow")
+	gateway.waitForLine("one: GET /read?slow")
 	drainedAt := time.Now()
-	s.logf("drain %t, again %t, takes clients %t", s.SetDraining(true), s.SetDraining(true), s.Ready())
+	gateway.logf("drain %t, again %t, takes clients %t", gateway.SetDraining(true), gateway.SetDraining(true), gateway.Ready())
 	ready()
-	s.roundTrip("read", "new")
+	gateway.roundTrip("read", "new")
 	io.WriteString(later, requestText("read", "later", ""))
-	s.logResponse(later, "on an open one")
-	s.logResponse(idle, "idle")
-	s.logf("within 2 s: %t", time.Since(drainedAt) < 2*time.Second)
-	s.logResponse(busy, "busy")
-	s.logf("resume %t, again %t, takes clients %t", s.SetDraining(false), s.SetDraining(false), s.Ready())
+	gateway.logResponse(later, "on an open one")
+	gateway.logResponse(idle, "idle")
+	gateway.logf("within 2 s: %t", time.Since(drainedAt) < 2*time.Second)
+	gateway.logResponse(busy, "busy")
+	gateway.logf("resume %t, again %t, takes clients %t", gateway.SetDraining(false), gateway.SetDraining(false), gateway.Ready())
 	ready()
-	s.Close()
-	s.logf("at the end: drain %t, resume %t, takes clients %t", s.SetDraining(true), s.SetDraining(false), s.Ready())
-	s.printLog()
+	gateway.Close()
+	gateway.logf("at the end: drain %t, resume %t, takes clients %t", gateway.SetDraining(true), gateway.SetDraining(false), gateway.Ready())
+	gateway.printLog()
 	// Output:
 	// one: GET /read?go ""
 	// before: 200 "answer to go"
@@ -69,24 +69,26 @@
 // count once they are written completely, and nothing stays open. A host with an open breaker is
 // ejected.
 func ExampleDispatcher_MetricsJSON() {
-	s := newTestGateway("one", "down")
+	gateway := newTestGateway("one", "down")
 	for _, action := range []string{"go", "go", "error", "decline", "full"} {
-		s.roundTrip("pay", action)
+		gateway.roundTrip("pay", action)
 	}
-	s.roundTrip("nothing", "go")
-	c := s.dial()
+	gateway.roundTrip("nothing", "go")
+	c := gateway.dial()
 	io.WriteString(c, strings.Replace(requestText("read", "go", ""), "GET", "POST", 1))
-	s.logResponse(c, "wrong method")
-	c = s.dial()
+	gateway.logResponse(c, "wrong method")
+	c = gateway.dial()
 	io.WriteString(c, requestText("read", "wait", ""))
-	s.waitForLine("one: GET /read?wait")
+	gateway.waitForLine("one: GET /read?wait")
 	// Clients have their responses, and hosts their requests, before the gateway counts them as written.
-	s.waitFor("all written counted", func() bool { return s.Counters.OpenTransactions.Load() == 1 && s.Counters.HopsWritten.Load() == 6 })
-	fmt.Println(string(s.MetricsJSON()))
+	gateway.waitFor("all written counted", func() bool {
+		return gateway.Counters.OpenTransactions.Load() == 1 && gateway.Counters.HopsWritten.Load() == 6
+	})
+	fmt.Println(string(gateway.MetricsJSON()))
 	c.Close()
-	s.waitForLine("one: given up")
-	s.callCore(func(time.Duration) { s.discovery.addrByID[7] = "127.0.0.1:1" })
-	fmt.Println(string(s.MetricsJSON()))
+	gateway.waitForLine("one: given up")
+	gateway.callCore(func(time.Duration) { gateway.discovery.addrByID[7] = "127.0.0.1:1" })
+	fmt.Println(string(gateway.MetricsJSON()))
 	// Output:
 	// {"succeeded":{"order":0,"pay":2,"read":0},"declined":{"order":0,"pay":1,"read":0},"aborted":{"order":0,"pay":2,"read":1},"forwards":6,"outstanding":1,"discovered":2,"ejected":0,"sighup_applied":0,"sighup_rejected":0}
 	// {"succeeded":{"order":0,"pay":2,"read":0},"declined":{"order":0,"pay":1,"read":0},"aborted":{"order":0,"pay":2,"read":1},"forwards":6,"outstanding":0,"discovered":3,"ejected":0,"sighup_applied":0,"sighup_rejected":0}
@@ -102,12 +104,12 @@
 	defer os.RemoveAll(dir)
 	path := filepath.Join(dir, "heir")
 	startAndReport := func(label string) {
-		s := newTestGateway("one")
-		fmt.Println(label, s.ListenForHandover(path))
-		s.callCore(func(now time.Duration) {
-			s.core.HostListReceived(now, logic.ListComplete, []logic.Host{{ID: 1, Kind: "box", Zone: "a", State: logic.HostReady}})
-			s.importPredecessorState(now)
-			fmt.Println("profiles learnt:", len(s.core.ExportLearned(now).Profiles))
+		gateway := newTestGateway("one")
+		fmt.Println(label, gateway.ListenForHandover(path))
+		gateway.callCore(func(now time.Duration) {
+			gateway.core.HostListReceived(now, logic.ListComplete, []logic.Host{{ID: 1, Kind: "box", Zone: "a", State: logic.HostReady}})
+			gateway.importPredecessorState(now)
+			fmt.Println("profiles learnt:", len(gateway.core.ExportLearned(now).Profiles))
 		})
 	}
 	startAndReport("nobody before:")
@@ -129,10 +131,10 @@
 				nc.Close()
 			}
 		}()
-		s, began := newTestGateway("one"), time.Now()
-		err = s.ListenForHandover(path)
-		if err != nil || !s.predecessor.receivedAt.IsZero() || time.Since(began) > 2*time.Second {
-			fmt.Println(label, err, s.predecessor.receivedAt, time.Since(began))
+		gateway, began := newTestGateway("one"), time.Now()
+		err = gateway.ListenForHandover(path)
+		if err != nil || !gateway.predecessor.receivedAt.IsZero() || time.Since(began) > 2*time.Second {
+			fmt.Println(label, err, gateway.predecessor.receivedAt, time.Since(began))
 		}
 		ln.Close()
 	}
@@ -147,19 +149,19 @@
 // Requests for a host and their responses are counted, so that it shows if the gateway that picks
 // hosts is unresponsive.
 func ExampleDispatcher_SendPeerMessage_pickRequests() {
-	s := newTestGateway("one")
-	s.callCore(func(time.Duration) {
-		s.SendPeerMessage(1, []logic.PeerEntry{{Kind: logic.EntryPickRequest, InFlight: 1}, {Kind: logic.EntryPickRequest}, {Kind: logic.EntryInFlight}})
+	gateway := newTestGateway("one")
+	gateway.callCore(func(time.Duration) {
+		gateway.SendPeerMessage(1, []logic.PeerEntry{{Kind: logic.EntryPickRequest, InFlight: 1}, {Kind: logic.EntryPickRequest}, {Kind: logic.EntryInFlight}})
 	})
 	var peerAddr netip.AddrPort
-	for addr, index := range s.peers.indexByAddr { // the order doesn't matter: one belongs to the other gateway
+	for addr, index := range gateway.peers.indexByAddr { // the order doesn't matter: one belongs to the other gateway
 		if index == 1 {
 			peerAddr = addr
 		}
 	}
-	for msg := range s.core.EncodePeerMessages([]logic.PeerEntry{{Kind: logic.EntryPickResponse}, {Kind: logic.EntryInFlight, Host: 1}}) {
-		s.datagramReceived(peerAddr, msg)
+	for msg := range gateway.core.EncodePeerMessages([]logic.PeerEntry{{Kind: logic.EntryPickResponse}, {Kind: logic.EntryInFlight, Host: 1}}) {
+		gateway.datagramReceived(peerAddr, msg)
 	}
-	fmt.Println("asks:", s.Counters.PickRequests.Load(), "answered:", s.Counters.PickResponses.Load(), "told:", s.Counters.PeerMessagesReceived.Load())
+	fmt.Println("asks:", gateway.Counters.PickRequests.Load(), "answered:", gateway.Counters.PickResponses.Load(), "told:", gateway.Counters.PeerMessagesReceived.Load())
 	// Output: asks: 2 answered: 1 told: 1
 }
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -232,12 +232,12 @@
 // order that may have run only in its cell, which has one host here. An abandoned transaction promises
 // nothing.
 func Example_hopOutcomes() {
-	s := newTestGateway("one")
+	gateway := newTestGateway("one")
 	for _, profile := range []string{"read", "order", "pay"} {
 		for _, action := range []string{"go", "error", "full", "busy", "cut", "half"} {
-			s.roundTrip(profile, action)
+			gateway.roundTrip(profile, action)
 		}
-		s.printLog()
+		gateway.printLog()
 	}
 	// Output:
 	// one: GET /read?go ""
@@ -282,12 +282,12 @@
 // host: the breakers would open after five errors in a row, and five more reads would try both hosts
 // each.
 func Example_declined() {
-	s := newTestGateway("one", "two")
+	gateway := newTestGateway("one", "two")
 	for range 10 {
-		s.roundTrip("read", "decline")
+		gateway.roundTrip("read", "decline")
 	}
-	fmt.Println(s.log[len(s.log)-1])
-	fmt.Println("hops:", s.Counters.Hops.Load(), "declined:", s.Counters.Declined.Load(), "errors:", s.Counters.HopOutcomes[logic.HopError].Load())
+	fmt.Println(gateway.log[len(gateway.log)-1])
+	fmt.Println("hops:", gateway.Counters.Hops.Load(), "declined:", gateway.Counters.Declined.Load(), "errors:", gateway.Counters.HopOutcomes[logic.HopError].Load())
 	// Output:
 	// read decline: 400 "no such thing"
 	// hops: 10 declined: 10 errors: 0
@@ -296,12 +296,12 @@
 // A connection that never comes up proves that nothing ran: even a payment is retried, here at the
 // other host.
 func Example_connectFailure() {
-	s := newTestGateway("down", "one")
+	gateway := newTestGateway("down", "one")
 	for range 4 {
-		s.roundTrip("pay", "go")
+		gateway.roundTrip("pay", "go")
 	}
-	s.printLog()
-	fmt.Println("connections that never came up:", s.Counters.HopOutcomes[logic.HopNoConnection].Load() > 0)
+	gateway.printLog()
+	fmt.Println("connections that never came up:", gateway.Counters.HopOutcomes[logic.HopNoConnection].Load() > 0)
 	// Output:
 	// one: POST /pay?go "hi"
 	// pay go: 200 "answer to go"
@@ -317,20 +317,20 @@
 // If a client closes, its hop is cancelled and nothing more is sent for it. Pipelined requests are
 // answered in turn, and a late response to the first does not reach the second.
 func Example_clientLeavesOrPipelines() {
-	s := newTestGateway("one")
-	c := s.dial()
+	gateway := newTestGateway("one")
+	c := gateway.dial()
 	io.WriteString(c, requestText("pay", "wait", ""))
-	s.waitForLine("one: POST /pay?wait")
+	gateway.waitForLine("one: POST /pay?wait")
 	c.Close()
-	s.waitForLine("one: given up")
-	c = s.dial()
+	gateway.waitForLine("one: given up")
+	c = gateway.dial()
 	io.WriteString(c, requestText("read", "first", "")+requestText("pay", "second", "Connection: close\r\n"))
-	s.waitForLine("one: POST /pay?second")
-	s.logResponse(c, "first")
-	s.logResponse(c, "second")
-	s.logResponse(c, "third")
-	s.printLog()
-	fmt.Println("left:", s.Counters.ClientLeft.Load(), "hops:", s.Counters.Hops.Load())
+	gateway.waitForLine("one: POST /pay?second")
+	gateway.logResponse(c, "first")
+	gateway.logResponse(c, "second")
+	gateway.logResponse(c, "third")
+	gateway.printLog()
+	fmt.Println("left:", gateway.Counters.ClientLeft.Load(), "hops:", gateway.Counters.Hops.Load())
 	// Output:
 	// one: POST /pay?wait "hi"
 	// one: given up
@@ -344,7 +344,7 @@
 
 // Invalid input gets a specific response and is not admitted.
 func Example_invalidInput() {
-	s := newTestGateway("one")
+	gateway := newTestGateway("one")
 	for _, text := range []string{
 		requestText("nothing", "go", ""), requestText("read", "go", "Content-Length: -1\r\n"),
 		strings.Replace(requestText("pay", "go", ""), "Content-Length: 2", "Idempotency-Key: k\r\nContent-Length: 2", 1),
@@ -352,35 +352,35 @@
 		strings.Replace(requestText("read", "path", ""), "/read", "/pay", 1), requestText("read", "go", "X-Qos: pay\r\n"),
 		requestText("read", "go", "Content-Length: 5\r\n") + "GET /",
 	} {
-		c := s.dial()
+		c := gateway.dial()
 		io.WriteString(c, text)
 		what, _, _ := strings.Cut(text, " HTTP")
-		s.logResponse(c, fmt.Sprintf("%q", what))
+		gateway.logResponse(c, fmt.Sprintf("%q", what))
 		c.Close()
 	}
-	c := s.dial() // a client that keeps sending is not reset, or it might never see its response
+	c := gateway.dial() // a client that keeps sending is not reset, or it might never see its response
 	io.WriteString(c, strings.Replace(requestText("order", "go", ""), "Length: 2", "Length: 33554433", 1))
-	s.logResponse(c, "too long")
+	gateway.logResponse(c, "too long")
 	for range 2 {
 		io.WriteString(c, strings.Repeat("a", 10_000))
 		time.Sleep(10 * time.Millisecond)
 	}
 	_, err := io.WriteString(c, "a")
-	s.logf("reads on: %t", err == nil)
-	open, same := s.dial(), s.dial()
+	gateway.logf("reads on: %t", err == nil)
+	open, same := gateway.dial(), gateway.dial()
 	io.WriteString(open, requestText("pay", "wait", ""))
-	s.waitForLine("one: POST")
+	gateway.waitForLine("one: POST")
 	io.WriteString(same, requestText("pay", "wait", ""))
-	s.logResponse(same, "the same id")
+	gateway.logResponse(same, "the same id")
 	open.Close()
-	s.waitForLine("one: given up")
-	s.roundTrip("pay", "go")
-	s.datagramReceived(netip.MustParseAddrPort("127.0.0.1:7"), make([]byte, 9)) // from no known gateway
-	s.datagramReceived(netip.MustParseAddrPort("127.0.0.1:8"), make([]byte, 8)) // no whole number of entries
-	s.datagramReceived(netip.MustParseAddrPort("127.0.0.1:8"), make([]byte, 10))
-	s.printLog()
-	fmt.Println("wrong:", s.Counters.InvalidInputs.Load(), "taken:", s.Counters.Admitted.Load(), "told:", s.Counters.PeerMessagesReceived.Load(), "dropped:",
-		s.Counters.PeerMessagesInvalid.Load())
+	gateway.waitForLine("one: given up")
+	gateway.roundTrip("pay", "go")
+	gateway.datagramReceived(netip.MustParseAddrPort("127.0.0.1:7"), make([]byte, 9)) // from no known gateway
+	gateway.datagramReceived(netip.MustParseAddrPort("127.0.0.1:8"), make([]byte, 8)) // no whole number of entries
+	gateway.datagramReceived(netip.MustParseAddrPort("127.0.0.1:8"), make([]byte, 10))
+	gateway.printLog()
+	fmt.Println("wrong:", gateway.Counters.InvalidInputs.Load(), "taken:", gateway.Counters.Admitted.Load(), "told:", gateway.Counters.PeerMessagesReceived.Load(), "dropped:",
+		gateway.Counters.PeerMessagesInvalid.Load())
 	// Output:
 	// "POST /nothing?go": 400 "unknown profile", the last
 	// "GET /read?go": 400 "wrong length", the last
@@ -404,22 +404,22 @@
 // A client that sends nothing, or an incomplete request, is answered or closed within 3 seconds; a
 // connection that has had a request is kept for longer.
 func Example_silentClients() {
-	s := newTestGateway("one")
+	gateway := newTestGateway("one")
 	began := time.Now()
-	silent, half, idle, once := s.dial(), s.dial(), s.dial(), s.dial()
+	silent, half, idle, once := gateway.dial(), gateway.dial(), gateway.dial(), gateway.dial()
 	io.WriteString(once, requestText("read", "once", ""))
-	s.logResponse(once, "once")
+	gateway.logResponse(once, "once")
 	io.WriteString(half, "GET /read?go HTT")
 	io.WriteString(idle, "GET /ready HTTP/1.1\r\n\r\n")
-	s.logResponse(idle, "idle")
-	s.logResponse(silent, "silent")
-	s.logResponse(half, "half")
-	s.logf("in time: %t", time.Since(began) < 3*time.Second)
+	gateway.logResponse(idle, "idle")
+	gateway.logResponse(silent, "silent")
+	gateway.logResponse(half, "half")
+	gateway.logf("in time: %t", time.Since(began) < 3*time.Second)
 	io.WriteString(idle, requestText("read", "again", ""))
-	s.logResponse(idle, "idle")
-	s.logResponse(once, "once, idle since")
-	s.logf("in time: %t", time.Since(began) < 5*time.Second)
-	s.printLog()
+	gateway.logResponse(idle, "idle")
+	gateway.logResponse(once, "once, idle since")
+	gateway.logf("in time: %t", time.Since(began) < 5*time.Second)
+	gateway.printLog()
 	// Output:
 	// one: GET /read?once ""
 	// once: 200 "answer to once"
@@ -436,21 +436,21 @@
 // A watch continues from the current revision. After a failed call or an invalid list the old list
 // stays in force and the call is repeated. A draining host gets no new hops.
 func Example_listWatch() {
-	s := newTestGateway("one", "two")
-	s.discoveryResponses <- `{"rev":5,"all":false,"targets":[{"uid":"one","az":"a","state":"terminating"}]}`
-	s.waitForRevision(5)
-	s.printLog()
+	gateway := newTestGateway("one", "two")
+	gateway.discoveryResponses <- `{"rev":5,"all":false,"targets":[{"uid":"one","az":"a","state":"terminating"}]}`
+	gateway.waitForRevision(5)
+	gateway.printLog()
 	for range 3 {
-		s.roundTrip("read", "go")
+		gateway.roundTrip("read", "go")
 	}
-	s.discoveryResponses <- `{"rev":6,"targets":[{"uid":"one","state":"asleep"}]}`
-	s.discoveryResponses <- ""
-	s.waitFor("two lists lost", func() bool { return s.Counters.ListCallsFailed.Load() == 2 })
-	s.roundTrip("read", "go")
-	s.discoveryResponses <- `{"rev":7,"all":true,"targets":[]}`
-	s.waitForRevision(7)
-	s.roundTrip("read", "go")
-	s.printLog()
+	gateway.discoveryResponses <- `{"rev":6,"targets":[{"uid":"one","state":"asleep"}]}`
+	gateway.discoveryResponses <- ""
+	gateway.waitFor("two lists lost", func() bool { return gateway.Counters.ListCallsFailed.Load() == 2 })
+	gateway.roundTrip("read", "go")
+	gateway.discoveryResponses <- `{"rev":7,"all":true,"targets":[]}`
+	gateway.waitForRevision(7)
+	gateway.roundTrip("read", "go")
+	gateway.printLog()
 	// Output:
 	// discovery: /v1/endpoints?index=4&wait=3000
 	// two: GET /read?go ""
@@ -471,17 +471,17 @@
 // come over a socket otherwise. A discovery that returns nothing at once is called with pauses.
 func Example_pushedListIsWatched() {
 	settings := strings.Replace(testSettings, "subscribe", "automatic", 1)
-	s := newTestGatewayWith(strings.Replace(settings, `,"connIdle":4000000,"connectTimeout":200000`, "", 1), "one")
-	s.roundTrip("read", "go") // connections come up and are kept without settings for their timeouts
-	s.discoveryResponses <- `{"rev":5,"all":true,"targets":[]}`
-	s.waitForRevision(5)
-	s.roundTrip("read", "go")
-	s.printLog()
+	gateway := newTestGatewayWith(strings.Replace(settings, `,"connIdle":4000000,"connectTimeout":200000`, "", 1), "one")
+	gateway.roundTrip("read", "go") // connections come up and are kept without settings for their timeouts
+	gateway.discoveryResponses <- `{"rev":5,"all":true,"targets":[]}`
+	gateway.waitForRevision(5)
+	gateway.roundTrip("read", "go")
+	gateway.printLog()
 	began := time.Now()
 	for range 4 {
-		s.discoveryResponses <- `{"rev":5,"targets":[]}`
+		gateway.discoveryResponses <- `{"rev":5,"targets":[]}`
 	}
-	s.waitFor("five more calls", func() bool { return s.Counters.ListCalls.Load() >= 6 })
+	gateway.waitFor("five more calls", func() bool { return gateway.Counters.ListCalls.Load() >= 6 })
 	fmt.Println("pauses:", time.Since(began) >= 4*minListCallPause)
 	// Output:
 	// one: GET /read?go ""
@@ -494,29 +494,29 @@
 // The address of discovery may change while a call waits there. The whole list is requested at the new
 // address at once; a list from the old one is ignored, and its end is no failed call.
 func Example_discoveryMoves() {
-	s := newTestGateway("one", "two")
-	s.waitFor("a call", func() bool { return s.Counters.ListCalls.Load() == 1 })
+	gateway := newTestGateway("one", "two")
+	gateway.waitFor("a call", func() bool { return gateway.Counters.ListCalls.Load() == 1 })
 	lists := make(chan string, 1)
-	moved := s.startServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	moved := gateway.startServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case text := <-lists:
-			s.logf("moved to: %s", r.URL)
+			gateway.logf("moved to: %s", r.URL)
 			io.WriteString(w, text)
 		case <-r.Context().Done():
 		}
 	}))
-	oldConn := s.discovery.conn
-	s.callCore(func(time.Duration) { s.changeDiscoveryAddr(moved) })
-	s.applyList(oldConn, logic.ListComplete, &protocol.HostList{Revision: 9})
+	oldConn := gateway.discovery.conn
+	gateway.callCore(func(time.Duration) { gateway.changeDiscoveryAddr(moved) })
+	gateway.applyList(oldConn, logic.ListComplete, &protocol.HostList{Revision: 9})
 	lists <- `{"rev":3,"all":true,"targets":[{"uid":"two","az":"a","state":"terminating"}]}`
-	s.waitForRevision(3)
-	s.roundTrip("read", "go")
-	s.printLog()
-	s.waitFor("a watch", func() bool { return s.Counters.ListCalls.Load() == 3 })
+	gateway.waitForRevision(3)
+	gateway.roundTrip("read", "go")
+	gateway.printLog()
+	gateway.waitFor("a watch", func() bool { return gateway.Counters.ListCalls.Load() == 3 })
 	lists <- `{"rev":5,"targets":[]}`
-	s.waitForRevision(5)
-	s.printLog()
-	fmt.Println("lost:", s.Counters.ListCallsFailed.Load())
+	gateway.waitForRevision(5)
+	gateway.printLog()
+	fmt.Println("lost:", gateway.Counters.ListCallsFailed.Load())
 	// Output:
 	// moved to: /v1/endpoints
 	// read go: 503 "rolled back"
@@ -544,21 +544,21 @@
 // After Close, connections are accepted for a while and answered, and transactions in flight are
 // answered.
 func Example_shutdown() {
-	s := newTestGateway("one")
-	idle, busy := s.dial(), s.dial()
+	gateway := newTestGateway("one")
+	idle, busy := gateway.dial(), gateway.dial()
 	io.WriteString(busy, requestText("read", "slow", ""))
-	s.waitForLine("one: GET /read?slow")
+	gateway.waitForLine("one: GET /read?slow")
 	ended := make(chan bool)
-	go func() { s.Close(); close(ended) }()
-	s.waitFor("the end", s.closing.Load)
-	s.roundTrip("read", "go")
-	c := s.dial()
+	go func() { gateway.Close(); close(ended) }()
+	gateway.waitFor("the end", gateway.closing.Load)
+	gateway.roundTrip("read", "go")
+	c := gateway.dial()
 	io.WriteString(c, "GET /ready HTTP/1.1\r\n\r\n")
-	s.logResponse(c, "ready")
-	s.logResponse(idle, "idle")
-	s.logResponse(busy, "busy")
+	gateway.logResponse(c, "ready")
+	gateway.logResponse(idle, "idle")
+	gateway.logResponse(busy, "busy")
 	<-ended
-	s.printLog()
+	gateway.printLog()
 	// Output:
 	// one: GET /read?slow ""
 	// one: GET /read?go ""
@@ -572,7 +572,7 @@
 // once it is idle. Otherwise they stay until the idle timeout.
 func Example_drainClosesIdleConnections() {
 	for _, rules := range []string{testSettings, strings.Replace(testSettings, `"askWithin"`, `"closeOnDrainWithin":500000,"askWithin"`, 1)} {
-		s := newTestGatewayWith(rules)
+		gateway := newTestGatewayWith(rules)
 		closed := make(chan bool, 9)
 		release, arrived := make(chan bool), make(chan bool, 1)
 		host := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -587,15 +587,15 @@
 			}
 		}
 		host.Start()
-		s.discoveryResponses <- fmt.Sprintf(`{"rev":5,"all":true,"targets":[{"uid":"one","az":"a","endpoint":%q,"state":"in_service"}]}`, host.Listener.Addr())
-		s.waitForRevision(5)
-		busy := s.dial()
+		gateway.discoveryResponses <- fmt.Sprintf(`{"rev":5,"all":true,"targets":[{"uid":"one","az":"a","endpoint":%q,"state":"in_service"}]}`, host.Listener.Addr())
+		gateway.waitForRevision(5)
+		busy := gateway.dial()
 		io.WriteString(busy, requestText("read", "wait", ""))
 		defer busy.Close() // an unreferenced connection is closed by the garbage collector
 		<-arrived          // otherwise it would arrive when the host drains
-		s.roundTrip("read", "go")
-		s.discoveryResponses <- fmt.Sprintf(`{"rev":6,"targets":[{"uid":"one","az":"a","endpoint":%q,"state":"terminating"}]}`, host.Listener.Addr())
-		s.waitForRevision(6)
+		gateway.roundTrip("read", "go")
+		gateway.discoveryResponses <- fmt.Sprintf(`{"rev":6,"targets":[{"uid":"one","az":"a","endpoint":%q,"state":"terminating"}]}`, host.Listener.Addr())
+		gateway.waitForRevision(6)
 		for _, what := range []string{"idle", "busy"} {
 			select {
 			case <-closed:
@@ -622,24 +622,24 @@
 	clientSideSettings := strings.NewReplacer(`"balancers":2`, `"balancers":300`, `"mayTell":true`, `"mayTell":false,"secondCopies":false`,
 		`"dcs"`, `"prices":{"connection":0.05},"report":{"via":"answers","fields":["busy","rif"]},"dcs"`).Replace(testSettings)
 	for _, settings := range []string{testSettings, clientSideSettings} {
-		s := newTestGatewayWith(settings, "one", "two", "three")
+		gateway := newTestGatewayWith(settings, "one", "two", "three")
 		for i := range 11 {
-			s.roundTrip("read", fmt.Sprint(i))
+			gateway.roundTrip("read", fmt.Sprint(i))
 		}
 		hosts := map[string]bool{}
-		for _, line := range s.log {
+		for _, line := range gateway.log {
 			if host, _, ok := strings.Cut(line, ": GET"); ok {
 				hosts[host] = true
 			}
 		}
-		opened := s.pool.Opened.Load()
-		s.callCore(func(time.Duration) {
-			for id := range s.discovery.addrByID { // the order doesn't matter
-				s.CloseIdleConnections(id)
+		opened := gateway.pool.Opened.Load()
+		gateway.callCore(func(time.Duration) {
+			for id := range gateway.discovery.addrByID { // the order doesn't matter
+				gateway.CloseIdleConnections(id)
 			}
 		})
-		s.roundTrip("read", "again")
-		fmt.Println("hosts:", len(hosts), "opened:", opened, "after they were given back:", s.pool.Opened.Load()-opened)
+		gateway.roundTrip("read", "again")
+		fmt.Println("hosts:", len(hosts), "opened:", opened, "after they were given back:", gateway.pool.Opened.Load()-opened)
 	}
 	// Output:
 	// hosts: 3 opened: 3 after they were given back: 1
--- a/internal/routing/stream_test.go
+++ b/internal/routing/stream_test.go
@@ -64,7 +64,7 @@
 // long, or an error, counts as possibly run. The core gets no further report on a streamed response.
 func ExampleDispatcher_streamResponse() {
 	goOn := make(chan bool)
-	s := newGatewayWithScriptedHost(func(nc net.Conn, head *http.Request) {
+	gateway := newGatewayWithScriptedHost(func(nc net.Conn, head *http.Request) {
 		body := testBytes(3 * megabyte)
 		switch action := head.URL.RawQuery; action {
 		case "sized":
@@ -97,7 +97,7 @@
 		}
 	})
 	get := func(action, version string, slowly bool) {
-		c := s.dial()
+		c := gateway.dial()
 		defer c.Close()
 		method := "GET"
 		if action == "head" {
@@ -141,8 +141,8 @@
 	get("torn-chunks", "HTTP/1.0", false)
 	get("error", "HTTP/1.1", false)
 	get("too-long", "HTTP/1.1", false)
-	s.waitForNoneOpen()
-	fmt.Println("streamed:", s.Counters.ResponsesStreamed.Load(), "cut off:", s.Counters.ResponsesCutOff.Load(), "open:", s.Counters.OpenTransactions.Load(), len(s.txs))
+	gateway.waitForNoneOpen()
+	fmt.Println("streamed:", gateway.Counters.ResponsesStreamed.Load(), "cut off:", gateway.Counters.ResponsesCutOff.Load(), "open:", gateway.Counters.OpenTransactions.Load(), len(gateway.txs))
 	// Output:
 	// sized HTTP/1.1 200 3145728 [] 3145728 true
 	// sized HTTP/1.0 200 3145728 [] 3145728 true
@@ -164,7 +164,7 @@
 // breaks off, is too slow or sends something invalid, the request has not run.
 func ExampleDispatcher_forwardBody() {
 	hostErrors := make(chan string, 9)
-	s := newGatewayWithScriptedHost(func(nc net.Conn, head *http.Request) {
+	gateway := newGatewayWithScriptedHost(func(nc net.Conn, head *http.Request) {
 		if head.URL.RawQuery == "early" {
 			io.WriteString(nc, "HTTP/1.1 400 no\r\nContent-Length: 2\r\n\r\nno")
 			io.Copy(io.Discard, nc)
@@ -179,9 +179,9 @@
 		response := fmt.Sprint(n, head.TransferEncoding)
 		fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(response), response)
 	})
-	s.bodyBudget.Store(0) // no budget to hold any body
+	gateway.bodyBudget.Store(0) // no budget to hold any body
 	begin := func(action, framing string) *clientConn {
-		c := s.dial()
+		c := gateway.dial()
 		fmt.Fprintf(c, "POST /pay?%s HTTP/1.1\r\nX-Trace-Id: f-%s\r\nX-Qos: pay\r\nX-Expires-In-Ms: 900\r\n%s\r\n\r\n", action, action, framing)
 		return c
 	}
@@ -191,35 +191,35 @@
 		time.Sleep(200 * time.Millisecond)
 		c.Write(piece[:1<<19])
 	}
-	s.logResponse(c, "sized")
+	gateway.logResponse(c, "sized")
 	c = begin("go", "Transfer-Encoding: chunked")
 	for piece := long; len(piece) > 0; piece = piece[1<<19:] {
 		fmt.Fprintf(c, "80000\r\n%s\r\n", piece[:1<<19])
 	}
 	io.WriteString(c, "0\r\n\r\n")
-	s.logResponse(c, "chunked")
+	gateway.logResponse(c, "chunked")
 	io.WriteString(c, requestText("pay", "small", ""))
-	s.logResponse(c, "next on it")
+	gateway.logResponse(c, "next on it")
 	c = begin("early", "Content-Length: 33554432")
 	c.Write(long)
-	s.logResponse(c, "early")
+	gateway.logResponse(c, "early")
 	c = begin("close", "Content-Length: 3145728")
 	c.Write(long[:megabyte])
 	c.Close()
-	s.logf("%s", <-hostErrors)
+	gateway.logf("%s", <-hostErrors)
 	c = begin("nonsense", "Transfer-Encoding: chunked")
 	fmt.Fprintf(c, "80000\r\n%s\r\nx\r\n", long[:1<<19])
-	s.logResponse(c, "nonsense")
-	s.logf("%s", <-hostErrors)
+	gateway.logResponse(c, "nonsense")
+	gateway.logf("%s", <-hostErrors)
 	c = begin("stop", "Content-Length: 3145728")
 	c.Write(long[:megabyte/2])
 	c.SetReadDeadline(time.Now().Add(20 * time.Second))
 	c.reader.Peek(1)
-	s.logResponse(c, "stops")
-	s.logf("%s", <-hostErrors)
-	s.printLog()
-	s.waitForNoneOpen()
-	fmt.Println("written whole:", s.Counters.HopsWritten.Load(), "open:", s.Counters.OpenTransactions.Load())
+	gateway.logResponse(c, "stops")
+	gateway.logf("%s", <-hostErrors)
+	gateway.printLog()
+	gateway.waitForNoneOpen()
+	fmt.Println("written whole:", gateway.Counters.HopsWritten.Load(), "open:", gateway.Counters.OpenTransactions.Load())
 	// Output:
 	// sized: 200 "3145728 []"
 	// chunked: 200 "3145728 [chunked]"
@@ -236,23 +236,23 @@
 // With a body that can't be sent again, only a hop that was never connected may be followed by
 // another. A hop that broke within the body is rolled back at once.
 func ExampleDispatcher_forwardBody_retry() {
-	s := newTestGateway()
-	breaks := s.startScriptedHost(func(nc net.Conn, head *http.Request) {
+	gateway := newTestGateway()
+	breaks := gateway.startScriptedHost(func(nc net.Conn, head *http.Request) {
 		io.CopyN(io.Discard, head.Body, 200_000)
 		nc.(*net.TCPConn).SetLinger(0)
 		nc.Close()
 	})
 	down := protocol.HostEntry{UID: "down", Endpoint: "127.0.0.1:1", Zone: "a", State: "in_service"}
-	s.applyList(s.discovery.conn, 1, &protocol.HostList{Revision: 5, Full: true, Hosts: []protocol.HostEntry{down, breaks}})
-	s.bodyBudget.Store(0)
+	gateway.applyList(gateway.discovery.conn, 1, &protocol.HostList{Revision: 5, Full: true, Hosts: []protocol.HostEntry{down, breaks}})
+	gateway.bodyBudget.Store(0)
 	for i := range 3 {
-		c := s.dial()
+		c := gateway.dial()
 		fmt.Fprintf(c, "POST /pay?x HTTP/1.1\r\nX-Trace-Id: %d\r\nX-Qos: pay\r\nX-Expires-In-Ms: 900\r\nContent-Length: 3145728\r\n\r\n", i)
 		go c.Write(testBytes(3 * megabyte))
-		s.logResponse(c, "breaks")
+		gateway.logResponse(c, "breaks")
 	}
-	s.printLog()
-	fmt.Println("written whole:", s.Counters.HopsWritten.Load(), "never up:", s.Counters.HopOutcomes[4].Load() > 3)
+	gateway.printLog()
+	fmt.Println("written whole:", gateway.Counters.HopsWritten.Load(), "never up:", gateway.Counters.HopOutcomes[4].Load() > 3)
 	// Output:
 	// breaks: 503 "rolled back", the last
 	// breaks: 503 "rolled back", the last
@@ -264,14 +264,14 @@
 // until then, it would be cut off at the end of the transaction's time while its host still sends. The
 // pauses fall within a chunk's length, before its end and within the trailer.
 func ExampleDispatcher_streamResponse_slowly() {
-	s := newGatewayWithScriptedHost(func(nc net.Conn, head *http.Request) {
+	gateway := newGatewayWithScriptedHost(func(nc net.Conn, head *http.Request) {
 		io.WriteString(nc, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 		for _, piece := range []string{"", "1", "0\r\n0123456789", "abcdef", "\r", "\n5\r", "\nvwxyz\r\n0", "\r\nTrailer: t", "\r\n\r", "\n"} {
 			time.Sleep(120 * time.Millisecond)
 			io.WriteString(nc, piece)
 		}
 	})
-	c := s.dial()
+	c := gateway.dial()
 	defer c.Close()
 	began := time.Now()
 	io.WriteString(c, requestText("read", "slowly", ""))
@@ -317,9 +317,9 @@
 		size = min(size, maxReceiveBuffer/2)
 	}
 	for _, form := range []string{"sized", "chunked", "broken off"} {
-		s := newTestGateway()
+		gateway := newTestGateway()
 		began, drains, gone := make(chan bool), make(chan bool), make(chan string, 1)
-		host := s.startScriptedHost(func(nc net.Conn, head *http.Request) {
+		host := gateway.startScriptedHost(func(nc net.Conn, head *http.Request) {
 			first, end := fmt.Sprintf("Content-Length: %d\r\n\r\n", size), ""
 			if form != "sized" {
 				first = fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n", size)
@@ -340,7 +340,7 @@
 			nc.(*net.TCPConn).SetLinger(0)
 			nc.Close()
 		})
-		c := s.slowClientOfDrainingHost(host, began)
+		c := gateway.slowClientOfDrainingHost(host, began)
 		close(drains)
 		fmt.Print(form, ": ", <-gone)
 		response, err := http.ReadResponse(c.reader, nil)
@@ -378,9 +378,9 @@
 func ExampleDispatcher_streamResponse_resetWithoutLength() {
 	const size = megabyte
 	for _, end := range []string{"closed", "reset"} {
-		s := newTestGateway()
+		gateway := newTestGateway()
 		began, drains, ended := make(chan bool), make(chan bool), make(chan bool)
-		host := s.startScriptedHost(func(nc net.Conn, head *http.Request) {
+		host := gateway.startScriptedHost(func(nc net.Conn, head *http.Request) {
 			long := testBytes(size)
 			fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\n\r\n%s", long[:80_000])
 			close(began)
@@ -395,7 +395,7 @@
 			nc.Close()
 			close(ended)
 		})
-		c := s.slowClientOfDrainingHost(host, began)
+		c := gateway.slowClientOfDrainingHost(host, began)
 		close(drains)
 		<-ended
 		response, err := http.ReadResponse(c.reader, nil)
@@ -403,7 +403,7 @@
 			panic(err)
 		}
 		n, err := io.Copy(io.Discard, response.Body)
-		fmt.Printf("%s: client has all that came: %v, whole: %v, cut off: %d\n", end, n == size, err == nil, s.Counters.ResponsesCutOff.Load())
+		fmt.Printf("%s: client has all that came: %v, whole: %v, cut off: %d\n", end, n == size, err == nil, gateway.Counters.ResponsesCutOff.Load())
 		c.Close()
 	}
 	// Output:
@@ -415,13 +415,13 @@
 // closed at once. It used to be kept for the ten seconds for which a host may be silent.
 func ExampleDispatcher_streamResponse_clientLeaves() {
 	silent, ended := make(chan bool), make(chan time.Time)
-	s := newGatewayWithScriptedHost(func(nc net.Conn, head *http.Request) {
+	gateway := newGatewayWithScriptedHost(func(nc net.Conn, head *http.Request) {
 		fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\n\r\n%s", testBytes(80_000))
 		close(silent)
 		nc.Read(make([]byte, 1))
 		ended <- time.Now()
 	})
-	c := s.dial()
+	c := gateway.dial()
 	io.WriteString(c, requestText("read", "long", ""))
 	<-silent
 	response, err := http.ReadResponse(c.reader, nil)
@@ -432,7 +432,9 @@
 	left := time.Now()
 	c.Close()
 	fmt.Println("host's connection given up within a second:", (<-ended).Sub(left) < time.Second)
-	s.waitFor("nothing is open", func() bool { return s.Counters.OpenTransactions.Load() == 0 && s.listener.OpenClients() == 0 })
+	gateway.waitFor("nothing is open", func() bool {
+		return gateway.Counters.OpenTransactions.Load() == 0 && gateway.listener.OpenClients() == 0
+	})
 	// Output:
 	// host's connection given up within a second: true
 }
