--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -1,5 +1,6 @@
 // Package control is the admin server: a listener with a connection limit of its own and one request
-// per connection. It knows nothing of transactions; a Gateway provides its answers.
+// per connection. It does not depend on how transactions are handled; it reads and controls the
+// gateway through the Gateway interface.
 package control
 
 import (
@@ -20,7 +21,7 @@
 type Gateway interface {
 	Ready() bool                    // it accepts clients
 	MetricsJSON() []byte            // its figures, as JSON
-	SetDraining(draining bool) bool // sends clients away, or accepts them again; false if it can't
+	SetDraining(draining bool) bool // starts or ends draining; false if it can't
 }
 
 // AdminServer serves the admin API.
@@ -29,7 +30,7 @@
 	gateway        Gateway
 	SucceededCalls atomic.Int64 // answered with status 200
 	FailedCalls    atomic.Int64 // failed, or answered with another status
-	Evicted        atomic.Int64 // connections closed to make room for others
+	Evicted        atomic.Int64 // connections closed in favour of new ones
 
 	mu    sync.Mutex
 	conns []*adminConn // oldest first
--- a/internal/protocol/encode.go
+++ b/internal/protocol/encode.go
@@ -81,7 +81,7 @@
 	return net.Buffers{[]byte("GET " + target + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n")}
 }
 
-// ContinueResponse asks a client that sent "Expect: 100-continue" for the body.
+// ContinueResponse requests the body from a client that sent "Expect: 100-continue".
 var ContinueResponse = []byte("HTTP/1.1 100 Continue\r\n\r\n")
 
 // TextResponse returns a response of the gateway itself to a client. retryAfter is the value of its Retry-After, which
@@ -126,8 +126,8 @@
 	return joinMessage(r.forwardedHead, endHeadWithLength(r.bodyLength, closeConn), r.Body)
 }
 
-// StreamFraming tells how the end of a streamed response is marked to the client. Its values are handed over to the
-// next process.
+// StreamFraming is how the end of a streamed response is marked to the client. Its values are handed over to the next
+// process.
 type StreamFraming int
 
 const (
--- a/internal/protocol/head.go
+++ b/internal/protocol/head.go
@@ -74,8 +74,8 @@
 	ExpectContinue bool // the sender waits for "100 Continue" before it sends the body
 }
 
-// bodyFraming tells how the end of a body that is read is found. Its values are handed over to the next process
-// in BodyState.
+// bodyFraming is how the end of a body that is read is found. Its values are handed over to the next process in
+// BodyState.
 type bodyFraming int
 
 const (
@@ -123,6 +123,7 @@
 	return true
 }
 
+// toLower returns the lower case of an ASCII letter, and any other byte unchanged.
 func toLower(c byte) byte {
 	if 'A' <= c && c <= 'Z' {
 		return c | 0x20
--- a/internal/protocol/hostlist.go
+++ b/internal/protocol/hostlist.go
@@ -10,15 +10,16 @@
 	"spanmux/logic"
 )
 
-// HostList is a response of discovery: all hosts if Full is set, else those that have changed since the revision
-// that was asked for.
+// HostList is a response of discovery: all hosts if Full is set, else those that have changed since the revision that
+// the call named.
 type HostList struct {
 	Revision int64       `json:"rev"`
 	Full     bool        `json:"all"`
 	Hosts    []HostEntry `json:"targets"`
 }
 
-// HostEntry describes one host of a HostList.
+// HostEntry describes one host of a HostList. Model is the host's hardware kind, Cell the group of hosts within which a
+// profile may deduplicate a repeated request, and BootMS the host's start as a Unix time in milliseconds, 0 if unknown.
 type HostEntry struct {
 	UID          string  `json:"uid"`
 	Endpoint     string  `json:"endpoint"`
--- a/internal/routing/bounds.go
+++ b/internal/routing/bounds.go
@@ -19,7 +19,7 @@
 	// name no bound: as long as a drain takes.
 	defaultMaxListPollInterval = 10 * time.Second
 
-	// listWatchDuration is how long discovery may hold a watch call; one that has fallen silent is noticed no sooner.
+	// listWatchDuration is how long discovery may hold a watch call; an unresponsive discovery is noticed no sooner.
 	// With listWatchMargin and the queue before the next answer, 2 s, it makes up the 6 s within which a change of the
 	// list has to be known.
 	listWatchDuration = 3 * time.Second
@@ -32,17 +32,19 @@
 	// full queue is 2 s long: with a shorter timeout none of a full queue's calls would be answered.
 	listCallTimeout = 2500 * time.Millisecond
 
-	// minListBackoff is the shortest time from the beginning of a failed call to the next one, which is chosen at
-	// random. It spares a discovery that is down or has too many callers.
+	// minListBackoff is the shortest time from the beginning of a failed call to the next one; the time is chosen at
+	// random up to maxListBackoff. It spares a discovery that is down or has too many callers.
 	minListBackoff = time.Second
 
-	// maxListBackoff is the longest such time: with the queue before an answer, 2 s, it stays within the 6 s.
+	// maxListBackoff is the longest such time: with the queue at discovery, 2 s, it stays within the 6 s (see
+	// listWatchDuration).
 	maxListBackoff = 3 * time.Second
 
-	// listRetriesPerDrainGrace is how often, within a drain's grace, a pushed list is asked for that can't be had.
+	// listRetriesPerDrainGrace is the number of calls per grace period of a drain while calls for a pushed list fail.
 	listRetriesPerDrainGrace = 4
 
-	// minListCallPause separates calls that bring nothing new; it stays within the 200 ms allowed to a watch.
+	// minListCallPause is the shortest time between calls that return nothing new; it stays within the 200 ms allowed
+	// to a watch.
 	minListCallPause = 100 * time.Millisecond
 
 	// defaultMaxSockets is how many sockets a process may have open where the configuration names no figure.
@@ -51,14 +53,16 @@
 	// defaultMemoryBytes is how much memory a process may use where the configuration names no figure.
 	defaultMemoryBytes = 64 << 20
 
-	// bodyBudgetDivisor: 1/8 of memory is for bodies over the usual size that are held whole.
+	// bodyBudgetDivisor: 1/8 of memory is for request bodies longer than protocol.MaxBufferedBodyBytes that are
+	// buffered whole, and for bodies that are read before their host is connected. With a shared listener, the same
+	// share again is for input that is retained for a handover.
 	bodyBudgetDivisor = 8
 
 	// readAheadBudgetDivisor: 1/8 of memory is for what is read ahead of slow clients.
 	readAheadBudgetDivisor = 8
 
-	// streamBufferBytes is how much of a streamed message is held at a time. Each connection has one such buffer, far
-	// less than the memory for all.
+	// streamBufferBytes is how much of a streamed message is buffered at a time. Each connection has one such buffer;
+	// all of them together are far less than the memory limit.
 	streamBufferBytes = 16 << 10
 
 	// maxEarlyBodyBytes bounds what is read of a body before its host is connected: as much as a client's machine may
@@ -77,18 +81,19 @@
 	// hosts' send buffers grow to. The system may allow less.
 	drainingHostReceiveBufferBytes = 4 << 20
 
-	// unsizedResponseHoldTimeout is how long a response without a length may take to be whole before it is streamed;
-	// a short one is whole at once.
+	// unsizedResponseHoldTimeout is how long a response without a length may take to be complete before it is streamed;
+	// a short one is complete at once.
 	unsizedResponseHoldTimeout = 50 * time.Millisecond
 
 	// maxBodyWritersPerTransaction bounds the hops of one transaction whose connections come up while its body waits;
 	// settings allow fewer.
 	maxBodyWritersPerTransaction = 64
 
-	// hostStreamIdleTimeout is how long a host may send nothing of a streamed response before it counts as gone.
+	// hostStreamIdleTimeout is how long a host may send nothing of a streamed response before it counts as failed.
 	hostStreamIdleTimeout = 10 * time.Second
 
-	// clientStreamIdleTimeout is how long a client may read nothing of a streamed response before it counts as gone.
+	// clientStreamIdleTimeout is how long a client may read nothing of a streamed response before it counts as
+	// disconnected.
 	clientStreamIdleTimeout = 10 * time.Second
 
 	// defaultIdleConnTimeout is how long hosts are taken to keep an idle connection where the settings don't say: a
@@ -138,7 +143,7 @@
 	// shutdownResponseReserve is left before the process ends for the last responses to be written.
 	shutdownResponseReserve = 100 * time.Millisecond
 
-	// shutdownPollInterval separates checks whether all clients are gone: far less than a response takes.
+	// shutdownPollInterval separates checks whether all client connections are closed: far less than a response takes.
 	shutdownPollInterval = 10 * time.Millisecond
 
 	// maxLogLinesPerSecond bounds the log lines of one kind.
--- a/internal/routing/client_leaves_test.go
+++ b/internal/routing/client_leaves_test.go
@@ -109,7 +109,8 @@
 	}
 }
 
-// sendRequests has each client send its text; long texts are written in the background.
+// sendRequests opens the connections and has each client send its text; long texts are written in the
+// background.
 func (l *leavingClients) sendRequests(text func(id string) string) {
 	for i := range l.count {
 		c := l.dial()
@@ -164,10 +165,10 @@
 	return late
 }
 
+// payRequest is a complete request that must not run twice; id becomes part of its trace ID.
 func payRequest(id string) string { return requestText("pay", id, "") }
 
-// partialPayRequest is a request of which that many bytes of the body have been sent, and more are
-// due.
+// partialPayRequest is a request with only the first bodyBytes bytes of its body of 8 MB.
 func partialPayRequest(id string, bodyBytes int) string {
 	return strings.Replace(payRequest(id), "Length: 2", "Length: 8000000", 1) + strings.Repeat("a", bodyBytes)
 }
@@ -199,7 +200,7 @@
 	l.callCore(func(time.Duration) {}) // waits for the call that admitted the last one
 }
 
-// leaveScenarios are the places where a transaction may wait when its client leaves.
+// leaveScenarios are the stages at which a transaction may wait when its client leaves.
 var leaveScenarios = []struct {
 	name string
 	run  func(size int, cancelling bool) *leavingClients
--- a/internal/routing/counters.go
+++ b/internal/routing/counters.go
@@ -44,7 +44,8 @@
 
 	// Calls for the host list.
 	ListCalls, ListCallsFailed counter
-	// Calls repeated at once after an interrupted watch; lists that were older than the current one and not applied.
+	// Calls repeated immediately after an interrupted watch; lists not applied because they were
+	// older than the current one.
 	ListCallsRetried, ListsStale counter
 
 	// Datagrams to and from other gateways.
--- a/internal/routing/discovery.go
+++ b/internal/routing/discovery.go
@@ -33,7 +33,7 @@
 	drainingBootMS  map[logic.HostID]int64 // start times of the listed hosts that drain
 	random          *rand.Rand
 	backoffTimer    *time.Timer // until a failed call is repeated, whatever the core decides
-	failureReported bool        // the core was told of a failed call and has not requested the list since
+	failureReported bool        // a failed call was reported to the core, which has not requested the list since
 }
 
 // newDiscoveryState returns the state without a list.
@@ -113,16 +113,17 @@
 // listBackoff returns how long after its failure a call is repeated, if it had lasted for elapsed;
 // jitter is in [0, 1). The time counts from the beginning of the call: a change has to be known 6 s
 // after discovery has it and can be reached, whatever failed before, so calls must begin no further
-// apart than a silent one lasts. Calls that fail at one instant have begun at different ones, so
-// repeats don't come at once either.
+// apart than the timeout of an unanswered one. Calls that fail at one instant have begun at different
+// ones, so repeats don't come at once either.
 func listBackoff(elapsed time.Duration, jitter float64) time.Duration {
 	return max(0, minListBackoff+time.Duration(jitter*float64(maxListBackoff-minListBackoff))-elapsed)
 }
 
 // watchList requests the list until a call fails. Calls follow each other at once, so that no change
-// is missed. A call that went silent or was broken off says nothing against discovery, and the changes
-// it missed are due soon: it is repeated at once, and only the next failure is reported to the core. A
-// call that was refused is reported immediately: discovery is down, or has too many callers.
+// is missed. A call that timed out or was broken off is no sign that discovery is down, and the
+// changes it missed have to be known soon: it is repeated at once, and only the next failure is
+// reported to the core. A refused call is reported immediately: discovery is down, or has too many
+// callers.
 func (d *Dispatcher) watchList(conn *transport.DiscoveryConn) {
 	for retried := false; ; {
 		d.mu.Lock()
@@ -188,7 +189,8 @@
 	return stop
 }
 
-// wasInterrupted reports whether a call got no answer: it went silent, or its connection ended.
+// wasInterrupted reports whether a call timed out or its connection ended before the response was
+// complete.
 func wasInterrupted(err error) bool {
 	var opErr *net.OpError
 	if errors.As(err, &opErr) && opErr.Op == "dial" { // connection refused or unreachable
@@ -269,7 +271,7 @@
 				d.interruptStreams()
 			}
 			d.hasHostList.Store(true)
-			if kind == logic.ListCached { // it may be old, and its hosts long gone
+			if kind == logic.ListCached { // it may be old, and its hosts long removed
 				time.AfterFunc(freshListTimeout, d.markListReceived)
 			} else {
 				d.markListReceived()
@@ -303,8 +305,8 @@
 	return all
 }
 
-// hostIDFor returns the ID of a host, a checksum of its UID alone: gateways name hosts to each other
-// by it. 0 stands for no host. It returns false if another host has the same ID.
+// hostIDFor returns the ID of a host, a checksum of its UID alone, as gateways refer to hosts by it
+// in peer messages. 0 stands for no host. It returns false if another host has the same ID.
 func (s *discoveryState) hostIDFor(uid string) (logic.HostID, bool) {
 	if id, known := s.idByUID[uid]; known {
 		return id, true
--- a/internal/routing/dispatcher.go
+++ b/internal/routing/dispatcher.go
@@ -26,14 +26,14 @@
 	discovery discoveryState
 	peers     peerNetwork
 
-	bodyBudget         atomic.Int64 // bytes left for bodies over the usual size
+	bodyBudget         atomic.Int64 // bytes left for request bodies; see bodyBudgetDivisor
 	readAheadBudget    atomic.Int64 // bytes left for what is read ahead of slow clients
 	maxReadAheadBudget int64        // its initial value
 
-	closing          atomic.Bool
-	hasHostList      atomic.Bool
-	serving          atomic.Bool
-	listReceived     chan struct{} // closed once there is a host list
+	closing          atomic.Bool   // Close was called
+	hasHostList      atomic.Bool   // a host list, which may be a cached one, was applied
+	serving          atomic.Bool   // Serve accepts clients
+	listReceived     chan struct{} // closed once there is a current host list, or freshListTimeout after a cached one
 	markListReceived func()        // closes listReceived
 
 	sharedListener         bool                     // other processes may accept from the same listener
@@ -165,8 +165,8 @@
 	d.removeIfFinished(t)
 }
 
-// clientLeft tells the decision core that a client has closed, if its transaction still waits for a
-// response.
+// clientLeft notifies the decision core that a client has closed, if its transaction still waits for
+// a response.
 func (d *Dispatcher) clientLeft(t *tx) (wasWaiting bool) {
 	d.callCore(func(now time.Duration) {
 		if wasWaiting = !t.answered; wasWaiting {
--- a/internal/routing/handover.go
+++ b/internal/routing/handover.go
@@ -21,7 +21,7 @@
 
 // handoverRecord describes a streamed response that is handed over to the process that replaces this
 // one; what was read and not written goes with it. Without a record, what is handed over is an
-// incomplete request. It is encoded as JSON between two versions of the program, so its field names
+// incomplete request. It is encoded as JSON between two versions of the program, so its JSON names
 // are fixed.
 type handoverRecord struct {
 	Trace                string // of its transaction, for the log
@@ -30,7 +30,7 @@
 	Framing              protocol.StreamFraming
 	ClosesClient         bool `json:"Closing"` // the client's connection closes after the response
 	FullyRead            bool `json:"Last"`    // the host has sent everything
-	RequestsLearnedState bool `json:"Asks"`    // asks for the learned state; nothing is handed over
+	RequestsLearnedState bool `json:"Asks"`    // requests the learned state; nothing is handed over
 }
 
 // responseStream is a response that is being streamed from a host to a client.
@@ -114,10 +114,10 @@
 }
 
 // shouldReadAhead reports whether to read a response faster than its client does. A draining host
-// leaves once it has written everything, and what its own socket still holds, megabytes at times, is
-// lost with it. So while a host drains, this machine's socket buffers what the host's socket holds,
-// and the end of the response is read ahead besides. Where the length is known, that is done only
-// towards the end.
+// exits once it has written everything, and what its own socket still holds, megabytes at times, is
+// lost with it. So while a host drains, the receive buffer of this machine's socket is enlarged to
+// take what the host's socket holds, and the end of the response is read ahead as well. Where the
+// length is known, that is done only towards the end.
 func (d *Dispatcher) shouldReadAhead(s *responseStream) bool {
 	remaining, known := s.body.Remaining()
 	if !d.hostDraining(s.hostID) {
@@ -150,9 +150,9 @@
 	return n
 }
 
-// fillReadAhead reads what a host has sent, without waiting. It has a budget of its own: the one for
-// bodies is used up by clients that send slowly just when others read slowly. Half of it is kept for
-// responses whose end is known to be near.
+// fillReadAhead reads what a host has sent, without waiting. It has a budget of its own, as the one
+// for request bodies may be used up by clients that send slowly while others read slowly. Half of it
+// is kept for responses whose end is known to be near.
 func (d *Dispatcher) fillReadAhead(s *responseStream) error {
 	buf := streamBuffers.Get().(*[streamBufferBytes]byte) // pending may refer to the other buffer
 	defer streamBuffers.Put(buf)
@@ -221,8 +221,8 @@
 }
 
 // interruptStreams interrupts streams that wait for a client to read or for a host to send, so that
-// they check whether they are to be handed over or their hosts drain. Without it, a stream that waited
-// for its host ended with its process.
+// they check whether they are to be handed over or their hosts drain. Without it, a stream that waits
+// for its host would end with this process.
 func (d *Dispatcher) interruptStreams() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -235,7 +235,7 @@
 // ListenForHandover listens at path for connections that the previous process hands over; this process
 // later hands its own over at the same path.
 //
-// The previous process is first asked for its learned state: a process that starts with guesses
+// The learned state is first requested from the previous process: a process that starts without it
 // rejects transactions that the hosts could serve.
 func (d *Dispatcher) ListenForHandover(path string) error {
 	query, err := json.Marshal(handoverRecord{RequestsLearnedState: true})
@@ -253,7 +253,7 @@
 }
 
 // handOverOrReject handles an incomplete request at shutdown of which no host has anything: the next
-// process receives the rest, or the client is told to retry.
+// process receives the rest, or the client gets a 503 and may retry.
 func (d *Dispatcher) handOverOrReject(c *transport.Client) {
 	if !d.handOver(c) {
 		d.Counters.RejectedBeforeAdmission.Add(1)
@@ -271,7 +271,7 @@
 }
 
 // adopt continues what the previous process hands over: an incomplete request, or a response and then
-// its client. The one reply to a record is the learned state, if that was asked for.
+// its client. Only a request for the learned state gets a reply.
 func (d *Dispatcher) adopt(encoded, received []byte, conns []net.Conn) (reply []byte) {
 	if len(encoded) == 0 && len(conns) == 1 {
 		d.Counters.Adopted.Add(1)
--- a/internal/routing/interruptions_test.go
+++ b/internal/routing/interruptions_test.go
@@ -140,8 +140,9 @@
 	// Output: taken: 0 sent: 0 false
 }
 
-// If a client leaves within its body while the connection to a host comes up, that must be noticed at
-// once. Otherwise a host keeps half a request for an hour if nothing may be called off.
+// If a client leaves before its body is complete, while the connection to a host comes up, that must
+// be noticed at once. Otherwise a host keeps an incomplete request for an hour if hops may not be
+// called off.
 func Example_clientLeavesDuringBody() {
 	for _, connected := range []bool{false, true} {
 		gateway := newGatedGateway(false, "one")
@@ -254,7 +255,7 @@
 	b.ReportMetric(float64(longest)/1e6, "ms-late-at-most")
 }
 
-// After a watch call that goes silent or is broken off, the next call follows at once: the changes it
+// After a watch call that times out or is broken off, the next call follows at once: the changes it
 // missed have to be known 2 s after the end of its wait, which a pause would use up. After a refused
 // call the core decides when to call again.
 func Example_watchFailures() {
@@ -425,7 +426,7 @@
 	// Output: lost: 5 in time: true
 }
 
-// A complete 200 before the end of the request belongs to something else: nothing has run, and no
+// A complete 200 before the end of the request belongs to another request: nothing has run, and no
 // client may receive it. An error status before the end of the request is a response to it.
 func Example_responseBeforeRequest() {
 	for _, answer := range []string{"200 OK", "200 long", "400 no"} {
@@ -479,8 +480,8 @@
 	// written: 1 open: 0
 }
 
-// With settings of zero or below, each transaction still gets one response, none runs twice, and
-// nothing stops.
+// With settings of zero or below, each transaction still gets one response, none runs twice, and the
+// gateway keeps serving.
 func Example_zeroOrNegativeSettings() {
 	for _, key := range []string{"serviceGoal", "hardLimit", "window", "mostHops", "revenue", "warmUp", "tipAfter", "fallMultiple", "coldFrom",
 		"connectTimeout", "connIdle", "maxRetryAfter"} {
--- a/internal/routing/large_fleet_test.go
+++ b/internal/routing/large_fleet_test.go
@@ -107,6 +107,7 @@
 	return s.Listener.Addr().String(), responses
 }
 
+// marshalJSON returns the JSON of a value.
 func marshalJSON(t *testing.T, value any) []byte {
 	t.Helper()
 	text, err := json.Marshal(value)
--- a/internal/routing/list_propagation_test.go
+++ b/internal/routing/list_propagation_test.go
@@ -31,6 +31,7 @@
 	now    time.Duration
 }
 
+// event is a function to be run at a simulated time.
 type event struct {
 	at    time.Duration
 	order int
@@ -50,11 +51,13 @@
 	return last
 }
 
+// schedule adds an event that is run after delay.
 func (t *simulatedTime) schedule(delay time.Duration, do func()) {
 	t.added++
 	heap.Push(t, event{t.now + delay, t.added, do})
 }
 
+// run runs the events before until, in order.
 func (t *simulatedTime) run(until time.Duration) {
 	for len(t.events) > 0 && t.events[0].at < until {
 		e := heap.Pop(t).(event)
@@ -69,15 +72,15 @@
 type simulatedFleet struct {
 	simulatedTime
 	gateways     int
-	round        time.Duration
-	renewalsCost bool // a call that continues a watch costs as much as one that starts it
+	round        time.Duration // in which discovery can answer one call of each gateway
+	renewalsCost bool          // a call that continues a watch costs as much as one that starts it
 	jitter       *rand.Rand
 
-	freeAt      time.Duration // when discovery is done with the calls it has accepted
-	failureMode string        // how discovery fails now
-	changed     bool
-	calls       []time.Duration
-	refused     int
+	freeAt      time.Duration   // when discovery is done with the calls it has accepted
+	failureMode string          // how discovery fails now
+	changed     bool            // discovery has the list change
+	calls       []time.Duration // when each call was made
+	refused     int             // calls
 	watchers    []*simulatedWatcher
 }
 
@@ -86,10 +89,10 @@
 	fleet     *simulatedFleet
 	call      int // the number of the call in flight
 	startedAt time.Duration
-	waiting   bool // discovery holds the call
-	continues bool // the last call did not fail
-	retried   bool // the last call was interrupted, and this one followed at once
-	knownAt   time.Duration
+	waiting   bool          // discovery holds the call
+	continues bool          // the last call did not fail
+	retried   bool          // the last call was interrupted, and this one followed at once
+	knownAt   time.Duration // when the gateway received the list change; 0 before that
 }
 
 const networkDelay = time.Millisecond // one way
@@ -325,7 +328,7 @@
 // failingDiscovery is a discovery over sockets that fails in a given way when the test says so.
 type failingDiscovery struct {
 	fault        string
-	host         string
+	host         string // address of the only host
 	addr         string
 	ln           net.Listener
 	watchWaiting chan bool // receives when a watch call waits
@@ -337,6 +340,7 @@
 // outageDuration is how long discovery is down or unresponsive in the failures that last.
 const outageDuration = 3 * time.Second
 
+// serve accepts connections and answers their calls until the listener is closed.
 func (d *failingDiscovery) serve() {
 	for {
 		nc, err := d.ln.Accept()
@@ -440,8 +444,8 @@
 	return strings.Join(gateway.log, "; ")
 }
 
-// The same over sockets, for each kind of failure: 6 s after discovery has the drain and can be
-// reached, the gateway knows it and sends nothing more to that host, in a fleet of any size.
+// With a discovery over sockets, for each kind of failure: 6 s after discovery has the drain and can
+// be reached, the gateway knows it and sends nothing more to that host, in a fleet of any size.
 func Example_listPropagationAfterFailure() {
 	var all sync.WaitGroup
 	logs := make(chan string, 99)
@@ -485,9 +489,9 @@
 	// Output: pauses: true
 }
 
-// Refused calls must not multiply. The core requests the list after each failure it is told of, and a
-// backoff timer calls as well. When each failure was reported, there was one more call in flight after
-// each, and 60 gateways made 189 calls a second to an overloaded discovery.
+// Refused calls must not multiply. The core requests the list after each failure that is reported to
+// it, and a backoff timer calls as well. When each failure was reported, there was one more call in
+// flight after each, and 60 gateways made 189 calls a second to an overloaded discovery.
 func Example_refusedCallsDoNotMultiply() {
 	gateway := newTestGatewayWith(strings.NewReplacer(`"balancers":2`, `"balancers":300`, `"askWithin":200000`, `"askWithin":10000000`, `"mayTell":true`,
 		`"mayTell":false`).Replace(testSettings), "one")
--- a/internal/routing/operations_test.go
+++ b/internal/routing/operations_test.go
@@ -14,8 +14,8 @@
 )
 
 // Draining loses no request: new ones are answered with Connection: close, idle connections close
-// soon, and the gateway is not ready until clients are accepted again. A connection that was told to
-// close in between closes.
+// soon, and the gateway is not ready until clients are accepted again. A connection whose response
+// announced meanwhile that it closes is closed.
 func ExampleDispatcher_SetDraining() {
 	gateway := newTestGateway("one")
 	ready := func() {
@@ -94,8 +94,8 @@
 	// {"succeeded":{"order":0,"pay":2,"read":0},"declined":{"order":0,"pay":1,"read":0},"aborted":{"order":0,"pay":2,"read":1},"forwards":6,"outstanding":0,"discovered":3,"ejected":0,"sighup_applied":0,"sighup_rejected":0}
 }
 
-// A process asks its predecessor for the learned state and starts with it. If the predecessor sends
-// nothing or something invalid, the process starts without and loses hardly any time.
+// A process requests the learned state from its predecessor and starts with it. If the predecessor
+// sends nothing or something invalid, the process starts without it within 2 s.
 func ExampleDispatcher_ListenForHandover_learns() {
 	dir, err := os.MkdirTemp("", "learns")
 	if err != nil {
--- a/internal/routing/relay.go
+++ b/internal/routing/relay.go
@@ -23,7 +23,7 @@
 	switch {
 	case exchangeOutcome != transport.OutcomeAnswered:
 		return outcomeOf[exchangeOutcome]
-	case h.response.Status == 200 && h.fullyWritten: // otherwise it belongs to another request: hosts start work with the last byte
+	case h.response.Status == 200 && h.fullyWritten: // a 200 before the request was complete belongs to another one: hosts start work with its last byte
 		return logic.HopCommitted
 	case h.response.Declined:
 		return logic.HopNotRun
@@ -33,9 +33,10 @@
 	return logic.HopError
 }
 
-// hopEnded tells the decision core how a hop ended. The first committed hop is the transaction's final
-// response. A request that its host declines would be declined by all: that is final too, and says
-// nothing against the host. Counted as errors, invalid requests would open the breakers of good hosts.
+// hopEnded reports to the decision core how a hop ended. The first committed hop is the transaction's
+// final response. A request that its host declines would be declined by all: that is final too, and
+// does not count against the host. Counted as errors, invalid requests would open the breakers of
+// good hosts.
 func (d *Dispatcher) hopEnded(h *hop, exchangeOutcome transport.Outcome) {
 	if exchangeOutcome == transport.OutcomeWithdrawn && !d.stillWanted(h) {
 		d.Counters.HopsWithdrawn.Add(1)
@@ -54,7 +55,7 @@
 			d.Counters.recordInvalidInput(h.response.LoadErr.Error())
 		}
 	}
-	if h.streamed { // the decision core knows already
+	if h.streamed { // already reported to the decision core
 		d.callCore(func(time.Duration) { d.closeIdleIfGone(h.target) })
 		return
 	}
@@ -135,9 +136,9 @@
 	errResponseBeforeRequest = errors.New("response before the end of the request") // by its host, or to another request
 )
 
-// streamResponse passes on a response over the usual size as it comes; its head is valid. From here on
-// the transaction belongs to this host and no other hop can answer it. A client can tell if the
-// response is broken off.
+// streamResponse forwards a response that is not buffered whole as it arrives; its head is valid.
+// From here on no other hop can answer the transaction. If the response is broken off, its framing
+// shows it to the client.
 func (d *Dispatcher) streamResponse(h *hop, response *protocol.Response, body *protocol.Body) error {
 	t, bodyReceived := h.tx, false
 	if response.Status == 200 && !h.exchange.FullyWritten() {
@@ -184,8 +185,8 @@
 	return err
 }
 
-// cancelStream cancels a response that is being streamed once its client has closed. A host that has
-// gone silent within the response would keep its connection, and its slot at the host, for
+// cancelStream cancels a response that is being streamed once its client has closed. Otherwise, if
+// the host stops sending, the hop would keep its connection and its slot at the host for
 // hostStreamIdleTimeout.
 func (d *Dispatcher) cancelStream(t *tx) {
 	if !t.client.PeerClosed() { // this process closed it after writing the response
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -76,6 +76,7 @@
 	return strings.TrimPrefix(httptest.NewServer(h).URL, "http://")
 }
 
+// logf adds a line to the log that printLog prints.
 func (g *testGateway) logf(format string, args ...any) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -149,6 +150,7 @@
 	reader *bufio.Reader
 }
 
+// dial opens a client's connection to the gateway.
 func (g *testGateway) dial() *clientConn {
 	nc, err := net.Dial("tcp", g.listener.Addr())
 	if err != nil {
@@ -213,6 +215,7 @@
 	})
 }
 
+// waitForRevision waits until the gateway has the list of that revision.
 func (g *testGateway) waitForRevision(revision int64) {
 	g.waitFor("list", func() bool {
 		g.Dispatcher.mu.Lock()
@@ -221,6 +224,7 @@
 	})
 }
 
+// printLog prints the log and clears it.
 func (g *testGateway) printLog() {
 	g.mu.Lock()
 	fmt.Println(strings.Join(g.log, "\n"))
--- a/internal/routing/run.go
+++ b/internal/routing/run.go
@@ -163,8 +163,9 @@
 // closesClientConns reports whether responses announce that the connection closes.
 func (d *Dispatcher) closesClientConns() bool { return d.closing.Load() || d.listener.Draining() }
 
-// SetDraining sends clients away, or accepts them again. It returns false if the gateway shuts down
-// and can't accept them again.
+// SetDraining starts or ends draining: while it drains, the gateway is not ready, and responses
+// announce that the connection closes. It returns false if draining can't end because the gateway
+// shuts down.
 func (d *Dispatcher) SetDraining(draining bool) bool {
 	if d.closing.Load() {
 		return draining
--- a/internal/routing/send.go
+++ b/internal/routing/send.go
@@ -24,7 +24,7 @@
 	exchange     *transport.Exchange
 	response     *protocol.Response
 	fullyWritten bool // the request was written completely
-	streamed     bool // its response is being streamed, and the core has been told
+	streamed     bool // its response is being streamed, and its end was reported to the core
 }
 
 // SendHop sends the transaction to a host. A host without a known address can't be reached.
@@ -72,7 +72,7 @@
 	return !h.tx.answered && d.discovery.acceptsNewHops(h.hostID)
 }
 
-// endUnsentHop ends a hop that can't be sent. It never ran, and says nothing about its host.
+// endUnsentHop ends a hop that can't be sent. It never ran, and does not count against its host.
 func (d *Dispatcher) endUnsentHop(h *hop) {
 	d.callCore(func(now time.Duration) {
 		h.tx.hopsInFlight--
@@ -82,7 +82,8 @@
 }
 
 // offerBodyWriter offers the connection of a hop to forwardBody for the rest of the body. It returns
-// false if part of the body has gone to another host.
+// false if the transaction has its response, part of the body was sent to another host, or too many
+// hops wait.
 func (d *Dispatcher) offerBodyWriter(h *hop, writer *transport.BodyWriter, timeout time.Duration) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -119,7 +120,8 @@
 }
 
 // readEarlyBody reads a body before its host is connected, as long as the buffer budget allows.
-// Otherwise the end of a client would go unnoticed that has sent more than a socket holds.
+// Otherwise the gateway would not notice that a client has closed if it had sent more than a socket
+// holds.
 func (d *Dispatcher) readEarlyBody(t *tx, body *earlyBody, buf []byte, stop func() bool) {
 	for body.err == nil && len(body.chunks) < maxEarlyBodyBytes/streamBufferBytes && !stop() && d.reserveBodyBudget(streamBufferBytes) {
 		n, err := t.client.ReadWhileWaiting(stop, func() (int, error) { return t.request.RemainingBody.Read(buf) })
@@ -197,7 +199,7 @@
 			case err != nil:
 				<-t.done // the body can't be sent again
 			}
-			if alreadyAnswered { // the response preceded the end of the body and said that the connection closes
+			if alreadyAnswered { // the response preceded the end of the body and announced that the connection closes
 				<-t.done
 			}
 			return !alreadyAnswered
@@ -248,8 +250,8 @@
 	})
 }
 
-// reserveBodyBudget reserves memory for a body over the usual size that is held whole. Without a
-// budget, many such bodies sent slowly by their clients would take all memory.
+// reserveBodyBudget reserves memory for a body that is buffered. Without a budget, many long bodies
+// sent slowly by their clients would take all memory.
 func (d *Dispatcher) reserveBodyBudget(bytes int) bool {
 	if d.bodyBudget.Add(-int64(bytes)) >= 0 {
 		return true
@@ -279,7 +281,7 @@
 	d.afterUnlock(func() { d.pool.CloseIdleTo(target) })
 }
 
-// Probe asks a host for a load report.
+// Probe requests a load report from a host.
 func (d *Dispatcher) Probe(hostID logic.HostID) {
 	d.Counters.Probes.Add(1)
 	load, reported := logic.NoLoadReport, false
--- a/internal/routing/stream_test.go
+++ b/internal/routing/stream_test.go
@@ -59,9 +59,10 @@
 	})
 }
 
-// A response over the usual size is streamed, whatever marks its end, also to a slow client, and its
-// first bytes don't wait for the last. One that breaks off does so for the client too. One that is too
-// long, or an error, counts as possibly run. The core gets no further report on a streamed response.
+// A response longer than protocol.MaxBufferedBodyBytes is streamed, whatever marks its end, also to a
+// slow client, and its first bytes don't wait for the last. If it breaks off, the client sees that
+// too. A response that is too long, or a long error response, counts as possibly run. The core gets
+// no further report on a streamed response.
 func ExampleDispatcher_streamResponse() {
 	goOn := make(chan bool)
 	gateway := newGatewayWithScriptedHost(func(nc net.Conn, head *http.Request) {
@@ -159,9 +160,9 @@
 	// streamed: 9 cut off: 3 open: 0 0
 }
 
-// A body that is too long to be held is streamed to the host, and the time budget of its transaction
-// counts from its last byte. A host may answer before that; then both connections close. If the client
-// breaks off, is too slow or sends something invalid, the request has not run.
+// A body that is too long to be buffered is streamed to the host, and the time budget of its
+// transaction counts from its last byte. A host may answer before that; then both connections close.
+// If the client breaks off, is too slow or sends something invalid, the request has not run.
 func ExampleDispatcher_forwardBody() {
 	hostErrors := make(chan string, 9)
 	gateway := newGatewayWithScriptedHost(func(nc net.Conn, head *http.Request) {
