--- a/internal/routing/client_leaves_test.go
+++ b/internal/routing/client_leaves_test.go
@@ -33,7 +33,7 @@
 	closedAt     time.Time     // when the last client had closed
 	noticedAfter time.Duration // time from closedAt until the gateway has noticed all
 	dials, gate  chan bool     // connections to hosts come up as gate allows
-	holdsHosts   atomic.Bool   // hosts wait, then reject the transaction
+	hostsWait    atomic.Bool   // hosts wait, then reject the transaction
 	release      chan bool     // closed to let them continue
 
 	writers sync.WaitGroup
@@ -73,7 +73,7 @@
 	return l
 }
 
-// runHost serves one host: it records the start of each hop, and waits or answers at once as holdsHosts says.
+// runHost serves one host: it records the start of each hop, and waits or answers at once as hostsWait says.
 func (l *leavingClients) runHost(ln net.Listener) {
 	for {
 		nc, err := ln.Accept()
@@ -95,7 +95,7 @@
 					l.hopStarted[id] = startedAt
 					l.hopsMu.Unlock()
 				}
-				held := l.holdsHosts.Load()
+				held := l.hostsWait.Load()
 				if held {
 					<-l.release
 				}
@@ -224,7 +224,7 @@
 	}},
 	{"behind another", func(size int, cancelling bool) *leavingClients {
 		l := newLeavingClients(size, size, cancelling, false)
-		l.holdsHosts.Store(true)
+		l.hostsWait.Store(true)
 		l.sendRequests(func(id string) string { return payRequest(id+"-first") + payRequest(id+"-second") })
 		l.waitForHops()
 		l.closeAll()
@@ -273,7 +273,7 @@
 	{"body half come, its host takes none", func(size int, cancelling bool) *leavingClients {
 		l := newLeavingClients(size/6, size, cancelling, false) // few: each takes megabytes of socket buffers
 		l.bodyBudget.Store(0)
-		l.holdsHosts.Store(true) // no host reads the body before release
+		l.hostsWait.Store(true) // no host reads the body before release
 		l.sendRequests(func(id string) string { return partialPayRequest(id, 3_000_000) })
 		l.waitForHops()
 		l.waitUntilSent()
@@ -298,7 +298,7 @@
 	}},
 	{"a hop ends later, another host", func(size int, cancelling bool) *leavingClients {
 		l := newLeavingClients(size, size, cancelling, false)
-		l.holdsHosts.Store(true)
+		l.hostsWait.Store(true)
 		l.sendRequests(payRequest)
 		l.waitForHops()
 		l.closeAll()
--- a/internal/routing/interruptions_test.go
+++ b/internal/routing/interruptions_test.go
@@ -191,10 +191,10 @@
 	fmt.Println("asks unanswered, sent:", gateway.Counters.Hops.Load())
 
 	gateway = newTestGatewayWith(strings.Replace(testSettings, `"cancelling":true`, `"cancelling":false`, 1), "one", "two")
-	goOn := make(chan bool)
+	proceed := make(chan bool)
 	entry := gateway.startScriptedHost(func(nc net.Conn, head *http.Request) {
 		gateway.logf("has it")
-		<-goOn
+		<-proceed
 		io.WriteString(nc, "HTTP/1.1 503 no\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n")
 	})
 	other := entry
@@ -205,7 +205,7 @@
 	gateway.waitForLine("has it")
 	c.Close()
 	gateway.waitForClientsLeft(1)
-	goOn <- true
+	proceed <- true
 	gateway.waitFor("turned away", func() bool { return gateway.Counters.HopOutcomes[logic.HopHostFull].Load() == 1 })
 	fmt.Println("turned away by the first, sent:", gateway.Counters.Hops.Load())
 	// Output:
@@ -387,10 +387,10 @@
 // A long request that its host doesn't read yet, on an idle connection, must not block whoever starts
 // the hop: the timer, with everything else that is due, or the receiver of peer messages.
 func Example_longMessageDoesNotBlock() {
-	goOn, host := make(chan bool), logic.HostID(0)
+	proceed, host := make(chan bool), logic.HostID(0)
 	gateway := newGatewayWithScriptedHost(func(nc net.Conn, head *http.Request) {
 		if head.Method == "POST" {
-			<-goOn
+			<-proceed
 			io.Copy(io.Discard, head.Body)
 		}
 		io.WriteString(nc, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
@@ -399,13 +399,13 @@
 	gateway.callCore(func(time.Duration) { host = gateway.discovery.idByUID["scripted"] })
 	done := make(chan transport.Outcome, 1)
 	gateway.callCore(func(time.Duration) {
-		gateway.startExchange(gateway.discovery.targetOf(host), &transport.Exchange{Deadline: time.Now().Add(5 * time.Second), OnDone: func(how transport.Outcome) { done <- how },
+		gateway.startExchange(gateway.discovery.targetOf(host), &transport.Exchange{Deadline: time.Now().Add(5 * time.Second), OnDone: func(outcome transport.Outcome) { done <- outcome },
 			BuildMessage: func() net.Buffers {
 				return net.Buffers{[]byte("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 8388608\r\n\r\n"), testBytes(8 * megabyte)}
 			},
 			ReadResponse: func(r *bufio.Reader) (bool, error) { _, err := http.ReadResponse(r, nil); return true, err }}, true)
 	})
-	goOn <- true
+	proceed <- true
 	fmt.Println("answered:", <-done == transport.OutcomeAnswered, "on connections:", gateway.pool.Opened.Load())
 	// Output: answered: true on connections: 1
 }
@@ -508,10 +508,10 @@
 // If a host is removed from the list while a hop is in flight, its connection is closed once it is
 // idle, and not only after the idle timeout.
 func Example_hostGoneWithHopInFlight() {
-	goOn, closed := make(chan bool), make(chan bool)
+	proceed, closed := make(chan bool), make(chan bool)
 	gateway := newGatewayWithScriptedHost(func(nc net.Conn, head *http.Request) {
 		gateway := "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
-		<-goOn
+		<-proceed
 		io.WriteString(nc, gateway)
 		nc.Read(make([]byte, 1))
 		close(closed)
@@ -521,7 +521,7 @@
 	io.WriteString(c, requestText("pay", "go", ""))
 	gateway.waitFor("out", func() bool { return gateway.Counters.HopsWritten.Load() == 1 })
 	gateway.applyList(gateway.discovery.conn, logic.ListChanges, &protocol.HostList{Revision: 6, Hosts: []protocol.HostEntry{{UID: "scripted", Zone: "a", State: "terminated"}}})
-	goOn <- true
+	proceed <- true
 	gateway.logResponse(c, "pay")
 	select {
 	case <-closed:
--- a/internal/routing/large_fleet_test.go
+++ b/internal/routing/large_fleet_test.go
@@ -118,11 +118,11 @@
 }
 
 // eventually waits until the condition holds, or fails the test.
-func eventually(t *testing.T, timeout time.Duration, what string, condition func() bool) {
+func eventually(t *testing.T, timeout time.Duration, event string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(timeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("not within %v: %s", timeout, what)
+			t.Fatalf("not within %v: %s", timeout, event)
 		}
 	}
 }
--- a/internal/routing/stream_test.go
+++ b/internal/routing/stream_test.go
@@ -64,13 +64,13 @@
 // too. A response that is too long, or a long error response, counts as possibly run. The core gets
 // no further report on a streamed response.
 func ExampleDispatcher_streamResponse() {
-	goOn := make(chan bool)
+	proceed := make(chan bool)
 	gateway := newGatewayWithScriptedHost(func(nc net.Conn, head *http.Request) {
 		body := testBytes(3 * megabyte)
 		switch action := head.URL.RawQuery; action {
 		case "sized":
 			fmt.Fprintf(nc, "HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body[:70_000])
-			<-goOn
+			<-proceed
 			nc.Write(body[70_000:])
 		case "chunks", "torn-chunks":
 			io.WriteString(nc, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -117,7 +117,7 @@
 		for err = nil; err == nil; {
 			var k int
 			if k, err = r.Body.Read(piece); k > 0 && n == 0 && action == "sized" {
-				goOn <- true // the rest is sent only once the first bytes have arrived
+				proceed <- true // the rest is sent only once the first bytes have arrived
 			}
 			checksum.Write(piece[:k])
 			if n += k; slowly {
@@ -319,7 +319,7 @@
 	}
 	for _, form := range []string{"sized", "chunked", "broken off"} {
 		gateway := newTestGateway()
-		began, drains, gone := make(chan bool), make(chan bool), make(chan string, 1)
+		began, drains, hostResult := make(chan bool), make(chan bool), make(chan string, 1)
 		host := gateway.startScriptedHost(func(nc net.Conn, head *http.Request) {
 			first, end := fmt.Sprintf("Content-Length: %d\r\n\r\n", size), ""
 			if form != "sized" {
@@ -337,13 +337,13 @@
 			for until := time.Now().Add(5 * time.Second); unsentBytes(nc) > 0 && time.Now().Before(until); {
 				time.Sleep(time.Millisecond)
 			}
-			gone <- fmt.Sprintf("host gave all: %v, its socket holds %d", err == nil, unsentBytes(nc))
+			hostResult <- fmt.Sprintf("host gave all: %v, its socket holds %d", err == nil, unsentBytes(nc))
 			nc.(*net.TCPConn).SetLinger(0)
 			nc.Close()
 		})
 		c := gateway.slowClientOfDrainingHost(host, began)
 		close(drains)
-		fmt.Print(form, ": ", <-gone)
+		fmt.Print(form, ": ", <-hostResult)
 		response, err := http.ReadResponse(c.reader, nil)
 		if err != nil {
 			panic(err)
