--- a/internal/control/server_test.go
+++ b/internal/control/server_test.go
@@ -57,9 +57,9 @@
 	defer server.Close()
 	for _, c := range []string{"GET /-/ready", "PUT /-/drain", "PUT /-/drain", "GET /-/ready", "PUT /-/resume", "PUT /-/resume",
 		"GET /-/ready?now", "GET /-/metrics", "POST /-/drain", "HEAD /-/ready", "GET /", "GET"} {
-		fmt.Println(c, "->", call(c+" HTTP/1.1\r\nHost: door\r\n\r\n"))
+		fmt.Println(c, "->", call(c+" HTTP/1.1\r\nHost: admin\r\n\r\n"))
 	}
-	fmt.Println("with a body ->", call("PUT /-/drain HTTP/1.1\r\nHost: door\r\nContent-Length: 2\r\n\r\nhi"))
+	fmt.Println("with a body ->", call("PUT /-/drain HTTP/1.1\r\nHost: admin\r\nContent-Length: 2\r\n\r\nhi"))
 	fmt.Println("torn ->", call("GET /-/ready HTTP/1.1\r\nHo"))
 	fmt.Println("long ->", call("GET /-/ready HTTP/1.1\r\nX: "+strings.Repeat("x", 5000)+"\r\n\r\n"))
 	fmt.Println("nothing ->", call("") == ": ")
