--- a/internal/routing/client_leaves_test.go
+++ b/internal/routing/client_leaves_test.go
@@ -33,7 +33,7 @@
 	closedAt     time.Time     // when the last client had closed
 	noticedAfter time.Duration // time from closedAt until the gateway has noticed all
 	dials, gate  chan bool     // connections to hosts come up as gate allows
-	holdsHosts   atomic.Bool   // hosts wait, then reject the transaction
+	hostsWait    atomic.Bool   // hosts wait, then reject the transaction
 	release      chan bool     // closed to let them continue
 
 	writers sync.WaitGroup
@@ -73,7 +73,7 @@
 	return l
 }
 
-// runHost serves one host: it records the start of each hop, and waits or answers at once as holdsHosts says.
+// runHost serves one host: it records the start of each hop, and waits or answers at once as hostsWait says.
 func (l *leavingClients) runHost(ln net.Listener) {
 	for {
 		nc, err := ln.Accept()
@@ -95,7 +95,7 @@
 					l.hopStarted[id] = startedAt
 					l.hopsMu.Unlock()
 				}
-				held := l.holdsHosts.Load()
+				held := l.hostsWait.Load()
 				if held {
 					<-l.release
 				}
@@ -109,7 +109,8 @@
 	}
 }
 
-// sendRequests has each client send its text; long texts are written in the background.
+// sendRequests opens the connections and has each client send its text; long texts are written in the
+// background.
 func (l *leavingClients) sendRequests(text func(id string) string) {
 	for i := range l.count {
 		c := l.dial()
@@ -164,10 +165,10 @@
 	return late
 }
 
+// payRequest is a complete request that must not run twice; id becomes part of its trace ID.
 func payRequest(id string) string { return requestText("pay", id, "") }
 
-// partialPayRequest is a request of which that many bytes of the body have been sent, and more are
-// due.
+// partialPayRequest is a request with only the first bodyBytes bytes of its body of 8 MB.
 func partialPayRequest(id string, bodyBytes int) string {
 	return strings.Replace(payRequest(id), "Length: 2", "Length: 8000000", 1) + strings.Repeat("a", bodyBytes)
 }
@@ -199,7 +200,7 @@
 	l.callCore(func(time.Duration) {}) // waits for the call that admitted the last one
 }
 
-// leaveScenarios are the places where a transaction may wait when its client leaves.
+// leaveScenarios are the stages at which a transaction may wait when its client leaves.
 var leaveScenarios = []struct {
 	name string
 	run  func(size int, cancelling bool) *leavingClients
@@ -223,7 +224,7 @@
 	}},
 	{"behind another", func(size int, cancelling bool) *leavingClients {
 		l := newLeavingClients(size, size, cancelling, false)
-		l.holdsHosts.Store(true)
+		l.hostsWait.Store(true)
 		l.sendRequests(func(id string) string { return payRequest(id+"-first") + payRequest(id+"-second") })
 		l.waitForHops()
 		l.closeAll()
@@ -272,7 +273,7 @@
 	{"body half come, its host takes none", func(size int, cancelling bool) *leavingClients {
 		l := newLeavingClients(size/6, size, cancelling, false) // few: each takes megabytes of socket buffers
 		l.bodyBudget.Store(0)
-		l.holdsHosts.Store(true) // no host reads the body before release
+		l.hostsWait.Store(true) // no host reads the body before release
 		l.sendRequests(func(id string) string { return partialPayRequest(id, 3_000_000) })
 		l.waitForHops()
 		l.waitUntilSent()
@@ -297,7 +298,7 @@
 	}},
 	{"a hop ends later, another host", func(size int, cancelling bool) *leavingClients {
 		l := newLeavingClients(size, size, cancelling, false)
-		l.holdsHosts.Store(true)
+		l.hostsWait.Store(true)
 		l.sendRequests(payRequest)
 		l.waitForHops()
 		l.closeAll()
--- a/internal/routing/dispatcher.go
+++ b/internal/routing/dispatcher.go
@@ -26,14 +26,14 @@
 	discovery discoveryState
 	peers     peerNetwork
 
-	bodyBudget         atomic.Int64 // bytes left for bodies over the usual size
+	bodyBudget         atomic.Int64 // bytes left for request bodies; see bodyBudgetDivisor
 	readAheadBudget    atomic.Int64 // bytes left for what is read ahead of slow clients
 	maxReadAheadBudget int64        // its initial value
 
-	closing          atomic.Bool
-	ready            atomic.Bool
-	serving          atomic.Bool
-	listReceived     chan struct{} // closed once there is a host list
+	closing          atomic.Bool   // Close was called
+	hasHostList      atomic.Bool   // a host list, which may be a cached one, was applied
+	serving          atomic.Bool   // Serve accepts clients
+	listReceived     chan struct{} // closed once there is a current host list, or freshListTimeout after a cached one
 	markListReceived func()        // closes listReceived
 
 	sharedListener         bool                     // other processes may accept from the same listener
@@ -69,14 +69,14 @@
 	pipelined bool          // some of the client's next request has been read
 	done      chan struct{} // closed when its response is written
 
-	bodyWriters     chan *transport.BodyWriter // connected hops that a streamed body can be written to
-	bodyForwarded   bool                       // some of the body was sent and can't be sent again
-	bodyReceived    bool                       // the whole body was received
-	responseTimeout time.Duration              // for the response, from the end of the body on
-	bodyHop         *hop                       // the hop that the body is sent to
-	answered        bool                       // it has its final response, or its client has left
-	hops            []*hop
-	hopsInFlight    int
+	bodyWriters        chan *transport.BodyWriter // connected hops that a streamed body can be written to
+	bodyForwardStarted bool                       // some of the body was sent and can't be sent again
+	bodyReceived       bool                       // the whole body was received
+	responseTimeout    time.Duration              // for the response, from the end of the body on
+	bodyHop            *hop                       // the hop that the body is sent to
+	answered           bool                       // it has its final response, or its client has left
+	hops               []*hop
+	hopsInFlight       int
 }
 
 // isDone reports whether its response is written.
@@ -165,8 +165,8 @@
 	d.removeIfFinished(t)
 }
 
-// clientLeft tells the decision core that a client has closed, if its transaction still waits for a
-// response.
+// clientLeft notifies the decision core that a client has closed, if its transaction still waits for
+// a response.
 func (d *Dispatcher) clientLeft(t *tx) (wasWaiting bool) {
 	d.callCore(func(now time.Duration) {
 		if wasWaiting = !t.answered; wasWaiting {
--- a/internal/routing/large_fleet_test.go
+++ b/internal/routing/large_fleet_test.go
@@ -44,7 +44,7 @@
 	entries := make([]protocol.HostEntry, largeFleetSize)
 	for i := range entries {
 		entries[i] = protocol.HostEntry{UID: fmt.Sprintf("host-%08x", i), Endpoint: fmt.Sprintf("127.1.%d.%d:%d", i>>8, i&255, port),
-			Zone: "a", Model: "m2", Cell: i, State: state, Size: 1}
+			Zone: "a", Model: "m2", Cell: i, State: state, CapacityHint: 1}
 	}
 	return entries
 }
@@ -64,14 +64,14 @@
 }
 
 // checkGrowth reports growth over the bounds; testGoroutines are not counted.
-func (c resourceUsage) checkGrowth(t *testing.T, testGoroutines int) {
+func (before resourceUsage) checkGrowth(t *testing.T, testGoroutines int) {
 	t.Helper()
 	now := measureUsage()
-	t.Logf("live heap %d KB more, goroutines %d more", (int64(now.heap)-int64(c.heap))>>10, now.goroutines-c.goroutines-testGoroutines)
-	if now.heap > c.heap+maxLargeFleetHeapBytes {
-		t.Errorf("live heap grew by %d KB", (now.heap-c.heap)>>10)
+	t.Logf("live heap %d KB more, goroutines %d more", (int64(now.heap)-int64(before.heap))>>10, now.goroutines-before.goroutines-testGoroutines)
+	if now.heap > before.heap+maxLargeFleetHeapBytes {
+		t.Errorf("live heap grew by %d KB", (now.heap-before.heap)>>10)
 	}
-	if n := now.goroutines - c.goroutines - testGoroutines; n > maxLargeFleetGoroutines {
+	if n := now.goroutines - before.goroutines - testGoroutines; n > maxLargeFleetGoroutines {
 		t.Errorf("%d more goroutines", n)
 	}
 }
@@ -107,6 +107,7 @@
 	return s.Listener.Addr().String(), responses
 }
 
+// marshalJSON returns the JSON of a value.
 func marshalJSON(t *testing.T, value any) []byte {
 	t.Helper()
 	text, err := json.Marshal(value)
@@ -117,11 +118,11 @@
 }
 
 // eventually waits until the condition holds, or fails the test.
-func eventually(t *testing.T, timeout time.Duration, what string, condition func() bool) {
+func eventually(t *testing.T, timeout time.Duration, event string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(timeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("not within %v: %s", timeout, what)
+			t.Fatalf("not within %v: %s", timeout, event)
 		}
 	}
 }
--- a/internal/routing/run.go
+++ b/internal/routing/run.go
@@ -157,14 +157,15 @@
 
 // Ready reports whether this process accepts clients.
 func (d *Dispatcher) Ready() bool {
-	return d.ready.Load() && d.serving.Load() && !d.closesClientConns()
+	return d.hasHostList.Load() && d.serving.Load() && !d.closesClientConns()
 }
 
 // closesClientConns reports whether responses announce that the connection closes.
 func (d *Dispatcher) closesClientConns() bool { return d.closing.Load() || d.listener.Draining() }
 
-// SetDraining sends clients away, or accepts them again. It returns false if the gateway shuts down
-// and can't accept them again.
+// SetDraining starts or ends draining: while it drains, the gateway is not ready, and responses
+// announce that the connection closes. It returns false if draining can't end because the gateway
+// shuts down.
 func (d *Dispatcher) SetDraining(draining bool) bool {
 	if d.closing.Load() {
 		return draining
