--- a/internal/config/check_test.go
+++ b/internal/config/check_test.go
@@ -68,7 +68,7 @@
 }
 
 // Truncated settings are rejected.
-func ExampleCheckSettings_torn() {
+func ExampleCheckSettings_truncated() {
 	fmt.Println(config.CheckSettings([]byte(poolSettings[:9]), 4))
 	// Output: settings: unexpected end of JSON input
 }
--- a/internal/config/largefleet_test.go
+++ b/internal/config/largefleet_test.go
@@ -35,14 +35,14 @@
 		if err := config.CheckSettings(largeFleetSettings(gatewayIndex), largeFleetSize); err != nil {
 			t.Error(err)
 		}
-		instance, err := config.Parse(largeFleetSettings(gatewayIndex), time.Second)
+		core, err := config.Parse(largeFleetSettings(gatewayIndex), time.Second)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if instance.GatewayCount != largeFleetSize || instance.GatewayIndex != gatewayIndex {
-			t.Errorf("gateway %d of %d", instance.GatewayIndex, instance.GatewayCount)
+		if core.GatewayCount != largeFleetSize || core.GatewayIndex != gatewayIndex {
+			t.Errorf("gateway %d of %d", core.GatewayIndex, core.GatewayCount)
 		}
-		if _, err := instance.ParseUpdate(largeFleetSettings(gatewayIndex), largeFleetSize); err != nil {
+		if _, err := core.ParseUpdate(largeFleetSettings(gatewayIndex), largeFleetSize); err != nil {
 			t.Error(err)
 		}
 	}
@@ -52,7 +52,7 @@
 // pick request. Counts used to be encoded up to 255 only: a host with one hop in flight from each of a thousand gateways looked as if it had
 // a quarter of that, and all zones from the 256th on looked like one.
 func TestMessagesLargeFleet(t *testing.T) {
-	instance, err := config.Parse(largeFleetSettings(0), time.Second)
+	core, err := config.Parse(largeFleetSettings(0), time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -66,11 +66,11 @@
 			sent = append(sent, entry)
 		}
 		messages := 0
-		for msg := range instance.EncodePeerMessages(sent) {
+		for msg := range core.EncodePeerMessages(sent) {
 			if messages++; len(msg) > config.MaxPeerMessageBytes {
 				t.Errorf("kind %d: message of %d bytes", kind, len(msg))
 			}
-			entries, err := instance.DecodePeerMessage(msg)
+			entries, err := core.DecodePeerMessage(msg)
 			if err != nil {
 				t.Errorf("kind %d: %v", kind, err)
 			}
@@ -91,12 +91,12 @@
 
 // An in-flight count that doesn't fit is encoded as the largest one that does.
 func TestMessagesManyHops(t *testing.T) {
-	instance, err := config.Parse(largeFleetSettings(0), time.Second)
+	core, err := config.Parse(largeFleetSettings(0), time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for msg := range instance.EncodePeerMessages([]logic.PeerEntry{{Kind: logic.EntryHopEnded, Host: 7, InFlight: 5000, Outcome: logic.HopNotRun}}) {
-		entries, err := instance.DecodePeerMessage(msg)
+	for msg := range core.EncodePeerMessages([]logic.PeerEntry{{Kind: logic.EntryHopEnded, Host: 7, InFlight: 5000, Outcome: logic.HopNotRun}}) {
+		entries, err := core.DecodePeerMessage(msg)
 		if err != nil || len(entries) != 1 || entries[0].InFlight != 1023 || entries[0].Outcome != logic.HopNotRun || entries[0].Kind != logic.EntryHopEnded {
 			t.Errorf("decoded as %+v, %v", entries, err)
 		}
@@ -106,18 +106,18 @@
 // Counts up to 255 are encoded as they were before larger ones could be, so that gateways of both builds understand each other. Messages with
 // unknown kinds are still rejected.
 func TestMessagesOfEarlierBuild(t *testing.T) {
-	instance, err := config.Parse(largeFleetSettings(0), time.Second)
+	core, err := config.Parse(largeFleetSettings(0), time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for msg := range instance.EncodePeerMessages([]logic.PeerEntry{{Kind: logic.EntryHopEnded, Host: 0x04030201, InFlight: 255, Outcome: logic.HopNotRun, Latency: time.Second}}) {
+	for msg := range core.EncodePeerMessages([]logic.PeerEntry{{Kind: logic.EntryHopEnded, Host: 0x04030201, InFlight: 255, Outcome: logic.HopNotRun, Latency: time.Second}}) {
 		if text := fmt.Sprintf("%x", msg); text[:12] != "01020304ff27" || text[16:] != "1027" {
 			t.Errorf("encoded as %s", text)
 		}
 	}
 	for kind := logic.EntryPickResponse + 1; kind < 8; kind++ {
 		for _, highHopBits := range []byte{0, 0x88} {
-			if entries, err := instance.DecodePeerMessage([]byte{1, 0, 0, 0, 1, byte(kind)<<4 | highHopBits, 0, 0, 0, 0}); err == nil {
+			if entries, err := core.DecodePeerMessage([]byte{1, 0, 0, 0, 1, byte(kind)<<4 | highHopBits, 0, 0, 0, 0}); err == nil {
 				t.Errorf("kind %d is decoded as %+v", kind, entries)
 			}
 		}
--- a/internal/config/peermessage.go
+++ b/internal/config/peermessage.go
@@ -25,10 +25,10 @@
 // EncodePeerMessages encodes entries for another gateway, split into as many messages as they need. A profile is identified by a hash of
 // its name and not by its index: gateways get new settings one after the other, and until all have them an index may mean another profile
 // at each.
-func (in *Instance) EncodePeerMessages(entries []logic.PeerEntry) iter.Seq[[]byte] {
+func (c *ConfiguredCore) EncodePeerMessages(entries []logic.PeerEntry) iter.Seq[[]byte] {
 	return func(yield func([]byte) bool) {
 		for batch := range slices.Chunk(entries, MaxPeerMessageBytes/peerEntryBytes) {
-			if !yield(in.encodePeerMessage(batch)) {
+			if !yield(c.encodePeerMessage(batch)) {
 				return
 			}
 		}
@@ -37,12 +37,12 @@
 
 // encodePeerMessage encodes one message. The sixth byte of an entry holds the kind and the outcome in three bits each. Its other two bits are
 // the high bits of the in-flight count; builds that encoded counts up to 255 only left them 0.
-func (in *Instance) encodePeerMessage(entries []logic.PeerEntry) []byte {
+func (c *ConfiguredCore) encodePeerMessage(entries []logic.PeerEntry) []byte {
 	msg := make([]byte, 0, MaxPeerMessageBytes)
 	for _, entry := range entries {
 		profileHash := uint16(0)
-		if entry.Kind != logic.EntryInFlight && entry.Profile < len(in.knownProfiles) {
-			profileHash = hashProfileName(in.knownProfiles[entry.Profile].Name)
+		if entry.Kind != logic.EntryInFlight && entry.Profile < len(c.knownProfiles) {
+			profileHash = hashProfileName(c.knownProfiles[entry.Profile].Name)
 		}
 		msg = binary.LittleEndian.AppendUint32(msg, uint32(entry.Host))
 		inFlight := min(entry.InFlight, maxEntryInFlight)
@@ -57,7 +57,7 @@
 func hashProfileName(name string) uint16 { return uint16(crc32.ChecksumIEEE([]byte(name))) }
 
 // DecodePeerMessage decodes a message of another gateway. Entries for a profile that this gateway does not know are skipped.
-func (in *Instance) DecodePeerMessage(msg []byte) ([]logic.PeerEntry, error) {
+func (c *ConfiguredCore) DecodePeerMessage(msg []byte) ([]logic.PeerEntry, error) {
 	if len(msg)%peerEntryBytes != 0 {
 		return nil, fmt.Errorf("message of %d bytes is not a whole number of entries", len(msg))
 	}
@@ -71,7 +71,7 @@
 		}
 		if entry.Kind != logic.EntryInFlight {
 			known := false
-			if entry.Profile, known = in.profileIndexByHash[binary.LittleEndian.Uint16(msg[6:])]; !known {
+			if entry.Profile, known = c.profileIndexByHash[binary.LittleEndian.Uint16(msg[6:])]; !known {
 				continue
 			}
 		}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -97,8 +97,8 @@
 // microseconds converts a duration setting, which is in microseconds.
 func microseconds(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 
-// Instance is the decision core of one gateway, with the settings that the code around the core needs to call it.
-type Instance struct {
+// ConfiguredCore is the decision core of one gateway, with the settings that the code around the core needs to call it.
+type ConfiguredCore struct {
 	logic.Core
 	GatewayCount, GatewayIndex    int            // how many gateways there are, and the index of this one
 	KeyAffinity                   bool           // hosts keep recently used objects warm, so the core gets the object's hash
@@ -118,8 +118,8 @@
 }
 
 // Start creates the decision core. Until predecessorActiveUntil the process that this one replaces may still be sending hops.
-func (in *Instance) Start(executor logic.Executor, now time.Duration, seed uint64, predecessorActiveUntil time.Duration) {
-	in.Core = in.newCore(executor, now, seed, predecessorActiveUntil)
+func (c *ConfiguredCore) Start(executor logic.Executor, now time.Duration, seed uint64, predecessorActiveUntil time.Duration) {
+	c.Core = c.newCore(executor, now, seed, predecessorActiveUntil)
 }
 
 // reloadableSettings are the settings that may change while the gateway runs.
@@ -238,7 +238,7 @@
 // Parse parses the settings in text. Where these say that changes of the host list are pushed, listPollInterval is how long the gateway may
 // go without requesting the list all the same: over HTTP some call has to be open, or no change would ever arrive. It is 0 where changes
 // do come by themselves, as in the simulator.
-func Parse(text []byte, listPollInterval time.Duration) (*Instance, error) {
+func Parse(text []byte, listPollInterval time.Duration) (*ConfiguredCore, error) {
 	var s settings
 	if err := json.Unmarshal(text, &s); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -247,16 +247,16 @@
 	if err != nil {
 		return nil, err
 	}
-	instance := &Instance{GatewayCount: s.GatewayCount, GatewayIndex: s.GatewayIndex, KeyAffinity: s.Specifics.KeyAffinity,
+	core := &ConfiguredCore{GatewayCount: s.GatewayCount, GatewayIndex: s.GatewayIndex, KeyAffinity: s.Specifics.KeyAffinity,
 		listPollInterval: listPollInterval, gatewayPerClient: s.gatewayPerClient(),
 		IdleConnTimeout: microseconds(s.Limits.IdleConnTimeout), ConnectTimeout: microseconds(s.Limits.ConnectTimeout),
 		topology: logic.Topology{GatewayCount: s.GatewayCount, GatewayIndex: s.GatewayIndex, Zone: s.MyZone, Zones: s.Zones}}
-	instance.activate(0, &reloadable)
-	instance.newCore = func(executor logic.Executor, now time.Duration, seed uint64, predecessorActiveUntil time.Duration) logic.Core {
+	core.activate(0, &reloadable)
+	core.newCore = func(executor logic.Executor, now time.Duration, seed uint64, predecessorActiveUntil time.Duration) logic.Core {
 		coldHosts := reloadable.coldHosts
 		coldHosts.PredecessorActiveUntil = predecessorActiveUntil
-		return logic.New(executor, now, seed, instance.topology, instance.knownProfiles, reloadable.tenants, coldHosts,
+		return logic.New(executor, now, seed, core.topology, core.knownProfiles, reloadable.tenants, coldHosts,
 			reloadable.drain, reloadable.hops, reloadable.sources, reloadable.costs)
 	}
-	return instance, nil
+	return core, nil
 }
--- a/internal/config/update.go
+++ b/internal/config/update.go
@@ -112,7 +112,7 @@
 }
 
 // ParseUpdate parses and checks new settings for a running gateway. It changes nothing; ApplyUpdate does.
-func (in *Instance) ParseUpdate(text []byte, peers int) (*SettingsUpdate, error) {
+func (c *ConfiguredCore) ParseUpdate(text []byte, peers int) (*SettingsUpdate, error) {
 	if err := CheckSettings(text, peers); err != nil {
 		return nil, err
 	}
@@ -120,13 +120,13 @@
 	if err := json.Unmarshal(text, &next); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	topology := in.topology
+	topology := c.topology
 	for _, rule := range []struct {
 		invalid bool
 		key     string
 	}{
 		{next.GatewayCount != topology.GatewayCount, "balancers"}, {next.GatewayIndex != topology.GatewayIndex, "me"}, {next.MyZone != topology.Zone, "myZone"},
-		{!slices.Equal(next.Zones, topology.Zones), "dcs"}, {next.gatewayPerClient() != in.gatewayPerClient, "limits.secondCopies"},
+		{!slices.Equal(next.Zones, topology.Zones), "dcs"}, {next.gatewayPerClient() != c.gatewayPerClient, "limits.secondCopies"},
 	} {
 		if rule.invalid {
 			return nil, fmt.Errorf("settings: %s: cannot change without a restart", rule.key)
@@ -154,38 +154,38 @@
 		}
 		seen[profile.Name] = true
 	}
-	reloadable, err := next.reloadable(in.listPollInterval)
+	reloadable, err := next.reloadable(c.listPollInterval)
 	if err != nil {
 		return nil, err
 	}
-	if len(in.knownProfiles)+len(reloadable.profiles) > maxKnownProfiles {
-		return nil, fmt.Errorf("settings: profiles: too many, with %d known since the start: needs a restart", len(in.knownProfiles))
+	if len(c.knownProfiles)+len(reloadable.profiles) > maxKnownProfiles {
+		return nil, fmt.Errorf("settings: profiles: too many, with %d known since the start: needs a restart", len(c.knownProfiles))
 	}
 	return &SettingsUpdate{reloadable}, nil
 }
 
 // ApplyUpdate puts new settings into force.
-func (in *Instance) ApplyUpdate(now time.Duration, update *SettingsUpdate) {
+func (c *ConfiguredCore) ApplyUpdate(now time.Duration, update *SettingsUpdate) {
 	next := &update.settings
-	in.activate(now, next)
-	in.Core.Reconfigure(now, in.knownProfiles, next.tenants, next.coldHosts, next.drain, next.hops, next.sources, next.costs)
+	c.activate(now, next)
+	c.Core.Reconfigure(now, c.knownProfiles, next.tenants, next.coldHosts, next.drain, next.hops, next.sources, next.costs)
 }
 
 // activate assigns indexes to the profiles and tenants of new settings. A profile keeps its index for as long as the process runs, and an
 // index never comes to stand for another name or effect: open transactions and learned values refer to it.
-func (in *Instance) activate(now time.Duration, next *reloadableSettings) {
-	profiles := slices.Clone(in.knownProfiles) // open transactions keep using the previous slice
-	servedUntil := slices.Clone(in.servedUntil)
+func (c *ConfiguredCore) activate(now time.Duration, next *reloadableSettings) {
+	profiles := slices.Clone(c.knownProfiles) // open transactions keep using the previous slice
+	servedUntil := slices.Clone(c.servedUntil)
 	for i := range profiles {
 		if servedUntil[i] == 0 {
 			servedUntil[i] = now + removedProfileTTL
 		}
 		profiles[i].Removed = true
 	}
-	in.ProfileIndexes, in.TenantIndexes, in.profileIndexByHash, in.MaxHardLimit = map[string]int{}, map[string]int{}, map[uint16]int{}, next.maxHardLimit
-	in.HostListPushed, in.DrainGrace = next.hostListPushed, next.drainGrace
+	c.ProfileIndexes, c.TenantIndexes, c.profileIndexByHash, c.MaxHardLimit = map[string]int{}, map[string]int{}, map[uint16]int{}, next.maxHardLimit
+	c.HostListPushed, c.DrainGrace = next.hostListPushed, next.drainGrace
 	for i, profile := range profiles { // profiles in force override these below
-		in.profileIndexByHash[hashProfileName(profile.Name)] = i
+		c.profileIndexByHash[hashProfileName(profile.Name)] = i
 	}
 	for _, profile := range next.profiles {
 		i := slices.IndexFunc(profiles, func(known logic.Profile) bool { return known.Name == profile.Name && known.Effect == profile.Effect })
@@ -194,20 +194,20 @@
 			profiles, servedUntil = append(profiles, profile), append(servedUntil, 0)
 		}
 		profiles[i], servedUntil[i] = profile, 0
-		in.ProfileIndexes[profile.Name], in.profileIndexByHash[hashProfileName(profile.Name)] = i, i
+		c.ProfileIndexes[profile.Name], c.profileIndexByHash[hashProfileName(profile.Name)] = i, i
 	}
 	for i, tenant := range next.tenants {
-		in.TenantIndexes[tenant.Name] = i
+		c.TenantIndexes[tenant.Name] = i
 	}
-	in.knownProfiles, in.servedUntil = profiles, servedUntil
+	c.knownProfiles, c.servedUntil = profiles, servedUntil
 }
 
 // FindProfile returns the index of the profile with a name and effect, -1 if there is none; known reports whether there is a profile of that
 // name at all. Profiles removed less than removedProfileTTL ago still count.
-func (in *Instance) FindProfile(now time.Duration, name string, effect logic.Effect) (index int, known bool) {
-	for i := range in.knownProfiles {
-		if (in.servedUntil[i] == 0 || now < in.servedUntil[i]) && in.knownProfiles[i].Name == name {
-			if known = true; in.knownProfiles[i].Effect == effect {
+func (c *ConfiguredCore) FindProfile(now time.Duration, name string, effect logic.Effect) (index int, known bool) {
+	for i := range c.knownProfiles {
+		if (c.servedUntil[i] == 0 || now < c.servedUntil[i]) && c.knownProfiles[i].Name == name {
+			if known = true; c.knownProfiles[i].Effect == effect {
 				return i, true
 			}
 		}
--- a/internal/config/update_test.go
+++ b/internal/config/update_test.go
@@ -21,8 +21,8 @@
 }
 
 // An invalid configuration file is rejected as a whole, with an error that names the key at fault.
-func ExampleInstance_ParseUpdate() {
-	instance, err := config.Parse(settingsOf(currentFile), 0)
+func ExampleConfiguredCore_ParseUpdate() {
+	core, err := config.Parse(settingsOf(currentFile), 0)
 	if err != nil {
 		panic(err)
 	}
@@ -39,7 +39,7 @@
 		text := strings.Replace(currentFile, change[0], change[1], 1)
 		err := config.CheckComplete([]byte(currentFile), []byte(text), "known")
 		if err == nil {
-			_, err = instance.ParseUpdate(settingsOf(text), 2)
+			_, err = core.ParseUpdate(settingsOf(text), 2)
 		}
 		if len(change[0]) == len(currentFile) {
 			change[0] = "all"
@@ -113,7 +113,7 @@
 }
 
 // Gateways with other profile indexes understand each other: here one of them has had profiles removed and added.
-func ExampleInstance_DecodePeerMessage() {
+func ExampleConfiguredCore_DecodePeerMessage() {
 	sender, _ := config.Parse(settingsOf(currentFile), 0)
 	receiver, _ := config.Parse(settingsOf(strings.Replace(currentFile, `"name":"read"`, `"name":"list"`, 1)), 0)
 	if update, err := receiver.ParseUpdate(settingsOf(currentFile), 2); err == nil {
--- a/internal/routing/dispatcher.go
+++ b/internal/routing/dispatcher.go
@@ -22,7 +22,7 @@
 	Counters  Counters
 	pool      *transport.Pool
 	listener  *transport.Listener
-	core      *config.Instance
+	core      *config.ConfiguredCore
 	discovery discoveryState
 	peers     peerNetwork
 
--- a/internal/simwire/actions.go
+++ b/internal/simwire/actions.go
@@ -13,7 +13,7 @@
 
 // actionWriter writes the actions of one gateway instance, one a line. It implements logic.Executor.
 type actionWriter struct {
-	instance     *config.Instance
+	instance     *config.ConfiguredCore
 	out          *bufio.Writer
 	instanceName string
 }
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -20,7 +20,7 @@
 // Serve reads batches from r and writes one reply for each to w, until the input ends.
 func Serve(r io.Reader, w io.Writer) error {
 	s := &server{in: bufio.NewReaderSize(r, 1<<16), out: bufio.NewWriterSize(w, 1<<16),
-		instances: map[string]*config.Instance{}, internedNames: map[string]string{}}
+		instances: map[string]*config.ConfiguredCore{}, internedNames: map[string]string{}}
 	for {
 		line, err := s.readLine()
 		if errors.Is(err, io.EOF) {
@@ -40,7 +40,7 @@
 type server struct {
 	in            *bufio.Reader
 	out           *bufio.Writer
-	instances     map[string]*config.Instance
+	instances     map[string]*config.ConfiguredCore
 	now           time.Duration
 	inBatch       bool
 	lineNumber    int
@@ -140,7 +140,7 @@
 }
 
 // decodePeerMessage decodes a peer message in hexadecimal digits.
-func decodePeerMessage(instance *config.Instance, text []byte) ([]logic.PeerEntry, error) {
+func decodePeerMessage(instance *config.ConfiguredCore, text []byte) ([]logic.PeerEntry, error) {
 	if isAbsent(text) {
 		return nil, nil
 	}
@@ -253,7 +253,7 @@
 }
 
 // handleInstanceEvent handles an event for an open instance.
-func (s *server) handleInstanceEvent(event string, p *lineParser, instance *config.Instance, instanceName string) error {
+func (s *server) handleInstanceEvent(event string, p *lineParser, instance *config.ConfiguredCore, instanceName string) error {
 	switch event {
 	case "ingress":
 		id := logic.TxID(p.nextInt())
@@ -333,7 +333,7 @@
 var listKindsByNumber = map[int64]logic.ListKind{2: logic.ListChanges, 1: logic.ListComplete, 0: logic.ListCached, 4: logic.ListFailed}
 
 // handleHostList reads a host list, with one host on each of the following lines.
-func (s *server) handleHostList(p *lineParser, instance *config.Instance) error {
+func (s *server) handleHostList(p *lineParser, instance *config.ConfiguredCore) error {
 	kindNumber := p.nextInt()
 	kind, ok := listKindsByNumber[kindNumber]
 	p.nextInt() // version, which is not needed: lists come in order
--- a/tools/scale/fleet.go
+++ b/tools/scale/fleet.go
@@ -24,7 +24,7 @@
 	lastEventSeq                int
 	events                      eventQueue
 	members                     []*fleetMember
-	codec                       *config.Instance
+	codec                       *config.ConfiguredCore
 	counting                    bool
 	received, committed, probes int
 	err                         error
--- a/tools/scale/gateway.go
+++ b/tools/scale/gateway.go
@@ -168,6 +168,6 @@
 }
 
 // newPeerMessageCodec returns a configuration that encodes and decodes peer messages.
-func newPeerMessageCodec(gatewayCount int) (*config.Instance, error) {
+func newPeerMessageCodec(gatewayCount int) (*config.ConfiguredCore, error) {
 	return config.Parse(settingsJSON(gatewayCount, defaultProfileCount, 0), 10*time.Second)
 }
