--- a/cmd/spanmux/idleclients_test.go
+++ b/cmd/spanmux/idleclients_test.go
@@ -17,7 +17,7 @@
 	"time"
 )
 
-// startProcess starts the program as a process of its own, with the usual configuration plus overrides. The first of files is its listener.
+// startProcess starts the program as a process of its own, with a default configuration and overrides of its top-level keys. The first of files is its listener.
 func startProcess(dir string, n, sockets, gateways int, overrides map[string]any, files ...*os.File) *exec.Cmd {
 	config := map[string]any{"name": fmt.Sprint(n), "listen": "127.0.0.1:1", "seed": fmt.Sprintf("%x", 7+n),
 		"limits": map[string]any{"sockets": sockets, "memory_mb": 64},
@@ -113,6 +113,7 @@
 	}
 }
 
+// stopAll stops the clients and waits until all have ended.
 func (c *idleClients) stopAll() {
 	close(c.stop)
 	c.running.Wait()
--- a/cmd/spanmux/largefleet_test.go
+++ b/cmd/spanmux/largefleet_test.go
@@ -71,6 +71,7 @@
 	return h
 }
 
+// serve answers requests and probes of all hosts, and records which host was reached.
 func (h *hostFleet) serve(w http.ResponseWriter, r *http.Request) {
 	at, _ := r.Context().Value(http.LocalAddrContextKey).(net.Addr)
 	h.mu.Lock()
--- a/cmd/spanmux/process_test.go
+++ b/cmd/spanmux/process_test.go
@@ -41,12 +41,12 @@
 	return startGatewayWithLimit(nil, listener, dir, n, discovery, peer, 2*time.Second)
 }
 
-// startGatewayWithLog does the same and writes the log to a file.
+// startGatewayWithLog is startGateway with the gateway's log written to a file.
 func startGatewayWithLog(log, listener *os.File, dir string, n int, discovery, peer string) (p *exec.Cmd, admin string) {
 	return startGatewayWithLimit(log, listener, dir, n, discovery, peer, 2*time.Second)
 }
 
-// startGatewayWithLimit does the same with a given hard limit.
+// startGatewayWithLimit is startGatewayWithLog with a given hard limit for the profile read.
 func startGatewayWithLimit(log, listener *os.File, dir string, n int, discovery, peer string, hardLimit time.Duration) (p *exec.Cmd, admin string) {
 	admin = freeAddress()
 	path := filepath.Join(dir, fmt.Sprint(n))
@@ -141,7 +141,7 @@
 // Two processes share an inherited listening socket. The second replaces the first while clients send requests all the time, on kept and on
 // new connections: none is refused, closed without a response or left unread, and the second gets the address for peer messages.
 //
-// Guards against a request that arrived in the instant of SIGTERM being accepted and its client then being taken for gone (see
+// Guards against a request that arrived in the instant of SIGTERM being accepted and its client then being taken for disconnected (see
 // ExampleClient_MarkActive_rejected). On a new connection that counts as rejected; on a kept one it looks like a connection closed while idle,
 // so that the first process's counter tx_left is checked too. Requests before and after are counted, not timed: under load the rate depends
 // on the machine.
@@ -300,7 +300,7 @@
 }
 
 // Eight requests at a time with bodies of 32 MiB in both directions pass through a process with a memory limit of 32 MB, to clients that read
-// slowly. If it buffered whole bodies it would need far more than the bound here, which leaves room for the race detector.
+// slowly. If it buffered whole bodies it would need far more than the bound here, which allows for the memory of the race detector.
 func Example_largeBodies() {
 	const bodyBytes = 32 << 20
 	serve := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/config/peermessage.go
+++ b/internal/config/peermessage.go
@@ -53,7 +53,7 @@
 	return msg
 }
 
-// hashProfileName is what identifies a profile in peer messages.
+// hashProfileName returns the hash of a profile's name, which identifies the profile in peer messages.
 func hashProfileName(name string) uint16 { return uint16(crc32.ChecksumIEEE([]byte(name))) }
 
 // DecodePeerMessage decodes a message of another gateway. Entries for a profile that this gateway does not know are skipped.
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -106,7 +106,7 @@
 	MaxHardLimit                  time.Duration  // the longest hard limit of any profile in force
 	IdleConnTimeout               time.Duration  // after which hosts close an idle connection
 	ConnectTimeout                time.Duration  // for establishing a connection to a host
-	HostListPushed                bool           // list changes come unasked, and count as known from then on whether or not they were received
+	HostListPushed                bool           // discovery pushes list changes; each counts as known from then on, whether or not it was received
 	DrainGrace                    time.Duration  // after a host drains or leaves, in which hops that reach it are not a fault
 	listPollInterval              time.Duration  // the argument of Parse
 	topology                      logic.Topology
@@ -136,7 +136,7 @@
 	costs          logic.CostModel
 }
 
-// retryBudget parses the three settings of the retry budget. They are given together or not at all: if one is missing it was more likely
+// retryBudget parses the three settings of the retry budget. They are set together or not at all: if one is missing it was more likely
 // lost than left out on purpose.
 func (s *settings) retryBudget() (logic.RetryBudget, error) {
 	obligations := s.Obligations
@@ -235,8 +235,8 @@
 	return result, nil
 }
 
-// Parse parses the settings in text. Where these say that changes of the host list are pushed, listPollInterval is how long the gateway may
-// go without requesting the list all the same: over HTTP some call has to be open, or no change would ever arrive. It is 0 where changes
+// Parse parses the settings in text. Where these say that changes of the host list are pushed, listPollInterval is the longest interval
+// between requests for the list all the same: over HTTP some call has to be open, or no change would ever arrive. It is 0 where changes
 // do come by themselves, as in the simulator.
 func Parse(text []byte, listPollInterval time.Duration) (*ConfiguredCore, error) {
 	var s settings
--- a/internal/config/update_test.go
+++ b/internal/config/update_test.go
@@ -112,7 +112,7 @@
 	// "2" -> settings: json: cannot unmarshal string into Go struct field .limits.responseRoom of type int
 }
 
-// Gateways with other profile indexes understand each other: here one of them has had profiles removed and added.
+// Gateways whose profile indexes differ understand each other: here one of them has had profiles removed and added.
 func ExampleConfiguredCore_DecodePeerMessage() {
 	sender, _ := config.Parse(settingsOf(currentFile), 0)
 	receiver, _ := config.Parse(settingsOf(strings.Replace(currentFile, `"name":"read"`, `"name":"list"`, 1)), 0)
--- a/internal/simwire/actions.go
+++ b/internal/simwire/actions.go
@@ -37,6 +37,7 @@
 	a.out.WriteString(text)
 }
 
+// endLine ends the action.
 func (a *actionWriter) endLine() { a.out.WriteByte('\n') }
 
 func (a *actionWriter) SendHop(id logic.TxID, host logic.HostID, timeout time.Duration) {
@@ -98,8 +99,8 @@
 // timerHandle is the handle of the only timer that the decision core keeps.
 const timerHandle = 1
 
-// SetTimer rounds the delay up to whole microseconds: the decision core sets no other timer while it waits for this one, so that after one
-// that fires early it would wait for ever.
+// SetTimer rounds the delay up to whole microseconds: the decision core sets no other timer while it waits for this one, and
+// would wait for ever after one that fired early.
 func (a *actionWriter) SetTimer(delay time.Duration) {
 	a.beginAction("set_alarm")
 	a.writeInt(timerHandle)
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -160,6 +160,7 @@
 	"no_route": logic.HopNoConnection, "cut": logic.HopConnectionBroken, "undone": logic.HopCalledOff, "stale_send": logic.HopNotRun,
 }
 
+// nextOutcome reads the outcome of a hop.
 func (p *lineParser) nextOutcome() logic.HopOutcome {
 	text := p.nextField()
 	outcome, ok := outcomesByName[string(text)]
@@ -169,7 +170,7 @@
 	return outcome
 }
 
-// nextLoadReport reads a load report such as "rif:3,q:1". Names that are not known are skipped.
+// nextLoadReport reads a load report such as "rif:3,q:1". Unknown names are skipped.
 func (p *lineParser) nextLoadReport() logic.LoadReport {
 	report := logic.NoLoadReport
 	text := p.nextField()
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -109,7 +109,7 @@
 
 // MarkActive records that a request has been received, at least to the end of its head, and awaits its
 // response. A connection over the limit tries for a slot again, as a client that has sent a request goes
-// before those that only hold one. It returns false if the connection has been closed meanwhile; the request
+// before those that only hold a connection. It returns false if the connection has been closed meanwhile; the request
 // is not to be handled then.
 func (c *Client) MarkActive() bool {
 	c.dispatched = true
@@ -138,7 +138,7 @@
 	return time.Now().Add(clientIdleTimeout)
 }
 
-// setIdleDeadline sets until when the connection may stay idle: the deadline given, or sooner during a drain
+// setIdleDeadline sets until when the connection may stay idle: the given deadline, or sooner during a drain
 // or shutdown. It holds the listener's lock, so that a connection that becomes idle just as a drain begins is
 // closed with the drain and not after its whole idle time.
 func (c *Client) setIdleDeadline(deadline time.Time) {
@@ -153,5 +153,5 @@
 	c.conn.SetReadDeadline(deadline)
 }
 
-// Close closes the connection. Its handler must still return before the slot is free.
+// Close closes the connection. Its slot becomes free only when its handler returns.
 func (c *Client) Close() { c.conn.Close() }
--- a/internal/transport/client_evict.go
+++ b/internal/transport/client_evict.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// evictable reports whether the connection may be closed in favour of another at the time given. None is on
-// which bytes have arrived and not been read. A new one that has sent nothing is spared for newClientGrace,
-// since its first bytes may be just behind its accept, and a partial request for partialRequestGrace. The
-// caller holds the listener's lock.
+// evictable reports whether the connection may be closed now in favour of another. A new or idle connection is
+// not while it has unread bytes. A new one is kept for newClientGrace in any case, since its first bytes may
+// arrive just after its accept, and a partial request for partialRequestGrace. The caller holds the listener's
+// lock.
 func (c *Client) evictable(now time.Time) bool {
 	switch c.state {
 	case stateFinished:
@@ -20,9 +20,9 @@
 	return false
 }
 
-// evict closes the evictable connection with the lowest state, among these the one that has been in it
-// longest, so that many silent connections or partial requests don't cost other clients theirs. The slot of the closed
-// connection passes to the caller. It returns false if there is none to close.
+// evict closes the evictable connection with the lowest state, and of several the one that has been in that
+// state longest, so that many silent connections or partial requests do not displace those of other clients.
+// The slot of the closed connection passes to the caller. It returns false if there is none to close.
 func (l *Listener) evict() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -44,8 +44,8 @@
 }
 
 // trimIdle closes the connection that has been idle longest if more than one in idleClientsDivisor of the
-// client slots is idle. Clients that send one request and keep the connection open would else take the slots
-// of those that come next.
+// client slots (at least two) is idle. Otherwise clients that send one request and keep the connection open
+// would take the slots of those that come next.
 func (l *Listener) trimIdle() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/transport/client_read.go
+++ b/internal/transport/client_read.go
@@ -78,9 +78,9 @@
 	return err
 }
 
-// minRateReader reads a client's requests under deadlines that move with what has arrived: beside the time for
-// the head a body gets a second for each minBodyBytesPerSecond bytes, and may not pause for longer than
-// bodySilenceTimeout.
+// minRateReader reads a client's requests under deadlines that move with what has arrived: in addition to the
+// time for the head, a body gets a second for each minBodyBytesPerSecond bytes, and may not pause for longer
+// than bodySilenceTimeout.
 type minRateReader Client
 
 // Read implements io.Reader. It returns os.ErrDeadlineExceeded if the client is too slow or Wake is called,
@@ -134,7 +134,7 @@
 }
 
 // ExtendReadTime adds to the time that the client has for its request. It is called with the time for which
-// nothing was read because a host took the body slowly, which is not the client's fault.
+// nothing was read because a host accepted the body slowly, which is not the client's fault.
 func (c *Client) ExtendReadTime(d time.Duration) { c.readStart = c.readStart.Add(d) }
 
 // BeginBody records that the request is dispatched while its body still arrives.
@@ -144,8 +144,7 @@
 	c.listener.mu.Unlock()
 }
 
-// EndBody records that the body of which BeginBody told has been read to its end, and lifts the read
-// deadline.
+// EndBody records that the body announced by BeginBody has been read to its end, and clears the read deadline.
 func (c *Client) EndBody() {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
--- a/internal/transport/datagrams.go
+++ b/internal/transport/datagrams.go
@@ -11,8 +11,8 @@
 // DatagramSocket is the UDP socket for messages between gateways.
 type DatagramSocket struct{ conn *net.UDPConn }
 
-// ListenDatagrams opens the socket at an address. Its receive buffer is sized for so many senders that send at the same
-// time, as far as the system allows (net.core.rmem_max); a smaller buffer is logged.
+// ListenDatagrams opens the socket at an address. Its receive buffer is sized for the given number of senders that send
+// at the same time, as far as the system allows (net.core.rmem_max); a smaller buffer is logged.
 func ListenDatagrams(addr string, senders int) (*DatagramSocket, error) {
 	udpAddr, err := net.ResolveUDPAddr("udp", addr)
 	if err != nil {
@@ -56,7 +56,7 @@
 }
 
 // Serve calls handle for each datagram until the socket is closed. Datagrams longer than maxBytes are cut to one byte
-// more than that, so that handle can tell. msg is valid until handle returns.
+// more than that, so that handle can recognise them. msg is valid until handle returns.
 func (d *DatagramSocket) Serve(maxBytes int, handle func(from netip.AddrPort, msg []byte)) {
 	buf := make([]byte, maxBytes+1)
 	for {
--- a/internal/transport/drain.go
+++ b/internal/transport/drain.go
@@ -82,7 +82,8 @@
 }
 
 // Shutdown stops accepting and closes connections on which no response is outstanding: new and idle ones with
-// nothing to read at once, all others soon after their response. Finished tells when none is left.
+// nothing to read at once, all others soon after their response. Finished then reports whether all are
+// closed.
 func (l *Listener) Shutdown() {
 	l.ln.Close()
 	l.mu.Lock()
--- a/internal/transport/handover.go
+++ b/internal/transport/handover.go
@@ -71,7 +71,7 @@
 
 // receiveHandover reads a handover: the lengths of two parts, sent together with the connections' descriptors, and the
 // parts. This process owns the connections once it has received all of it, even if the previous process does not wait
-// for the acknowledgement, a byte 1: it has given them up by then.
+// for the acknowledgement, a byte 1: that process no longer uses them by then.
 func receiveHandover(conn *net.UnixConn) (record, data []byte, conns []net.Conn, err error) {
 	conn.SetDeadline(time.Now().Add(handoverReadTimeout))
 	header, control := make([]byte, 8), make([]byte, syscall.CmsgSpace(4*4))
@@ -112,7 +112,7 @@
 	return record, data, conns, err
 }
 
-// encodeLengths returns the header of a message with so many parts: the length of each, as four bytes, big-endian.
+// encodeLengths returns the header of a message with the given parts: the length of each, as four bytes, big-endian.
 func encodeLengths(parts ...[]byte) (header []byte) {
 	for _, part := range parts {
 		header = binary.BigEndian.AppendUint32(header, uint32(len(part)))
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -45,7 +45,7 @@
 }
 
 // InheritedListener returns the listening TCP socket that the process was started with as a file descriptor,
-// given as a decimal number. Closing the result leaves the socket open in the other processes that share it.
+// whose number is passed in decimal. Closing the result leaves the socket open in the other processes that share it.
 // It fails if the descriptor is no number below 65536, or no listening TCP socket.
 func InheritedListener(descriptor string) (net.Listener, error) {
 	n, err := strconv.ParseUint(descriptor, 10, 16)
@@ -92,7 +92,7 @@
 }
 
 // admit registers an accepted connection, with a slot of the connection limit or as one over it. It blocks
-// while neither is to be had.
+// while neither is available.
 func (l *Listener) admit(conn net.Conn) *Client {
 	l.Accepted.Add(1)
 	conn.(*net.TCPConn).SetWriteBuffer(sendBufferBytes)
@@ -140,7 +140,6 @@
 	return len(l.clients)
 }
 
-// Finished reports whether a listener that accepts no more has no connection left. It asks whether Serve has
-// returned as well, because a connection that was just accepted and waits in admit is not among the open ones
-// yet.
+// Finished reports whether a listener that accepts no more has no connection left. It also checks that Serve
+// has returned, because a connection that was just accepted and waits in admit is not among the open ones yet.
 func (l *Listener) Finished() bool { return !l.accepting.Load() && l.OpenClients() == 0 }
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -40,7 +40,7 @@
 	OnDone       func(Outcome)                                   // called when the exchange has ended
 	// StreamBody is set if BuildMessage returns only the beginning of the message. It is called when that is written,
 	// with the writer for the rest, and returns without blocking; false ends the exchange. The time for the response
-	// is then given to BodyWriter.WriteLast.
+	// is then an argument of BodyWriter.WriteLast.
 	StreamBody func(*BodyWriter) bool
 	// SlotWait is the time that the exchange spent waiting for a slot of the connection limit, for which its host is
 	// not responsible.
@@ -145,6 +145,7 @@
 	return x.lastWriteBegun
 }
 
+// isWanted reports whether the message is still to be sent.
 func (x *Exchange) isWanted() bool { return x.StillWanted == nil || x.StillWanted() }
 
 // setStop sets the function that interrupts the exchange. It returns false if the exchange is already cancelled.
@@ -155,8 +156,8 @@
 	return !x.cancelled
 }
 
-// Target identifies a host in the pool. The host's ID is part of it because a new host may get the address of one that
-// is gone, and must not be served by connections to that one.
+// Target identifies a host in the pool. The host's ID is part of it because a new host may get the address of a removed
+// one, and must not be served by connections to that one.
 type Target struct {
 	HostID uint32
 	Addr   string
@@ -343,12 +344,13 @@
 	}
 	conn.(*net.TCPConn).SetWriteBuffer(sendBufferBytes)
 	c := &hostConn{pool: p, target: target, conn: conn, socket: socketStateOf(conn), reader: bufio.NewReaderSize(conn, hostReadBufferBytes)}
-	if !c.send(x) { // the host has sent something unasked, or closed the connection
+	if !c.send(x) { // the host has sent something before any request, or closed the connection
 		x.OnDone(OutcomeNotWritten)
 	}
 	c.serve()
 }
 
+// earlier returns the earlier of two times.
 func earlier(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
@@ -356,6 +358,7 @@
 	return b
 }
 
+// later returns the later of two times.
 func later(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return b
@@ -430,7 +433,7 @@
 
 // awaitedExchange returns the exchange in progress when the wait for input has ended with err. If there is none the
 // connection is dead from then on: the host has closed it, its idle time-out has passed, or the host has sent something
-// unasked. idleExpired reports that the idle time-out passed just as a message was sent, so that the wait goes on.
+// without a request. idleExpired reports that the idle time-out passed just as a message was sent, so that the wait goes on.
 func (c *hostConn) awaitedExchange(err error) (x *Exchange, idleExpired bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/transport/socket_state.go
+++ b/internal/transport/socket_state.go
@@ -10,8 +10,8 @@
 )
 
 // socketState inspects a connection without consuming anything of it: neither bytes nor the pending error of a
-// broken connection. So it tells for certain whether anything had arrived at a moment; bytes that a reader has
-// already taken, and not yet reported, could not be seen by any check.
+// broken connection. Its result is therefore exact for the moment of the call, whereas bytes that a reader has
+// taken from the socket and not yet returned could not be seen by any check.
 type socketState struct{ raw syscall.RawConn }
 
 // socketStateOf returns the state of a TCP connection.
@@ -56,12 +56,12 @@
 // os.ErrDeadlineExceeded at the read deadline, net.ErrClosed if the connection is closed here.
 func (s socketState) waitPeerClosed() error { return s.raw.Read(peerHungUp) }
 
-// peerHungUp asks for the state of the connection, which the kernel reports ahead of unread bytes. A close of the
+// peerHungUp reports whether the peer has closed, which poll shows even if unread bytes come before it. A close of the
 // sending side alone counts: a client that has done that sends no more.
 func peerHungUp(fd uintptr) bool { return pollEvents(fd, unix.POLLRDHUP) != 0 }
 
-// pollEvents returns which of the wanted poll events hold, and POLLHUP and POLLERR, which poll reports
-// unasked. Unlike a receive, poll leaves the connection's pending error in place. A receive takes it even
+// pollEvents returns which of the wanted poll events hold, and POLLHUP and POLLERR, which poll
+// always reports. Unlike a receive, poll leaves the connection's pending error in place. A receive takes it even
 // with MSG_PEEK, so that the next one finds an orderly end of file where there was a reset.
 func pollEvents(fd uintptr, wanted int16) int16 {
 	for {
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// Each exchange ends once, and its outcome tells whether the host may have received the whole message. Cancelling an
+// Each exchange ends once, and its outcome shows whether the host may have received the complete message. Cancelling an
 // exchange closes its connection, so that a late response does not reach the next exchange.
 func ExamplePool() {
 	echo := func(nc net.Conn, r *bufio.Reader) {
--- a/tools/regress/record.go
+++ b/tools/regress/record.go
@@ -104,7 +104,7 @@
 	return len(r.reading.Violations) > 0 || r.droppedTooFar() && !dropAllowed
 }
 
-// update moves figures of the record, up freely and down only with a reason, and describes the changes. A reading that broke a rule is not
+// update raises figures of the record, lowers them only if there is a reason, and describes the changes. A reading that broke a rule is not
 // recorded.
 func (record *figureRecord) update(rows []row, reason string, now time.Time) (changes []string) {
 	date := now.Format(time.DateOnly)
--- a/tools/scale/fleet.go
+++ b/tools/scale/fleet.go
@@ -14,7 +14,7 @@
 	messageDelay         = time.Millisecond // one way between gateways, and for the round trip of a probe
 	fleetWarmUpDuration  = time.Second      // before messages are counted, so that latencies and relative speeds are learnt
 	fleetCountedDuration = 2 * time.Second  // for which messages are counted
-	minCommittedFraction = 0.9              // of the transactions; below it the fleet is not in its usual state and the measurement is not valid
+	minCommittedFraction = 0.9              // of the transactions; below it the fleet rejects or delays transactions, and the measurement is not valid
 )
 
 // fleet simulates gateways that exchange peer messages, in virtual time and without sockets. Each gateway runs the real decision core and
--- a/tools/scale/gateway.go
+++ b/tools/scale/gateway.go
@@ -61,7 +61,7 @@
 	return hosts
 }
 
-// simulatedGateway is the decision core alone, with a clock that the caller advances. It counts the actions that the core asks for.
+// simulatedGateway is the decision core alone, with a clock that the caller advances. It counts the actions that the core takes.
 type simulatedGateway struct {
 	*logic.Balancer
 	now, timerDue                      time.Duration // timerDue is 0 if no timer is set
--- a/tools/scale/growth_test.go
+++ b/tools/scale/growth_test.go
@@ -12,7 +12,7 @@
 var growthBounds = []struct {
 	key            string
 	sizes          []int
-	maxExponent    float64 // exponent
+	maxExponent    float64 // bound on the fitted exponent
 	maxValue       float64 // at the largest size; not checked with the race detector, whose build allocates more
 	targetExponent float64 // exponent that the target needs
 	reason         string
--- a/tools/scale/measures.go
+++ b/tools/scale/measures.go
@@ -94,7 +94,7 @@
 }
 
 // measureTransactions measures one transaction at a gateway whose hosts all send the same load report. It fails if more than a tenth of the
-// transactions are rolled back or abandoned, as that is not the usual path.
+// transactions are rolled back or abandoned, as the cost would then not be that of a committed transaction.
 func measureTransactions(m *meter, g *simulatedGateway, load logic.LoadReport) (map[string]float64, int, error) {
 	traffic := &trafficGenerator{simulatedGateway: g, load: load}
 	before := func() {
