--- a/tools/regress/main.go
+++ b/tools/regress/main.go
@@ -86,7 +86,7 @@
 			if p.seeded {
 				key = fmt.Sprintf("%s-%d", p.name, seed)
 			}
-			fmt.Fprintf(out, "playing %s ...\n", key)
+			fmt.Fprintf(out, "running %s ...\n", key)
 			readings, err := c.runPanel(ctx, p, seed)
 			if err != nil {
 				return fmt.Errorf("%s: %w", key, err)
--- a/tools/regress/regress_test.go
+++ b/tools/regress/regress_test.go
@@ -57,7 +57,7 @@
 	err := c.run(context.Background(), &out)
 	for line := range strings.Lines(out.String()) {
 		if line = strings.TrimSpace(line); strings.HasPrefix(line, "| ") && !strings.HasPrefix(line, "| panel") && !strings.HasPrefix(line, "| ---") ||
-			line != "" && !strings.HasPrefix(line, "|") && !strings.HasPrefix(line, "playing") {
+			line != "" && !strings.HasPrefix(line, "|") && !strings.HasPrefix(line, "running") {
 			fmt.Println(line)
 		}
 	}
