--- a/cmd/spanmux/idleclients_test.go
+++ b/cmd/spanmux/idleclients_test.go
@@ -18,17 +18,17 @@
 )
 
 // startProcess starts the program as a process of its own, with a default configuration and overrides of its top-level keys. The first of files is its listener.
-func startProcess(dir string, n, sockets, gateways int, overrides map[string]any, files ...*os.File) *exec.Cmd {
-	config := map[string]any{"name": fmt.Sprint(n), "listen": "127.0.0.1:1", "seed": fmt.Sprintf("%x", 7+n),
+func startProcess(dir string, number, sockets, gateways int, overrides map[string]any, files ...*os.File) *exec.Cmd {
+	config := map[string]any{"name": fmt.Sprint(number), "listen": "127.0.0.1:1", "seed": fmt.Sprintf("%x", 7+number),
 		"limits": map[string]any{"sockets": sockets, "memory_mb": 64},
 		"settings": json.RawMessage(fmt.Sprintf(`{"balancers":%d,"me":%d,"dcs":["a"],"myZone":"a","discovery":"subscribe",`+
 			`"obligations":{"askWithin":10000000,"drainGrace":400000},"limits":{"mostHops":2,"connectTimeout":300000,"connIdle":4000000},"profiles":[`+
-			`{"name":"read","effect":"idempotent","serviceGoal":1000000,"hardLimit":2000000,"revenue":1}]}`, gateways, n%gateways))}
+			`{"name":"read","effect":"idempotent","serviceGoal":1000000,"hardLimit":2000000,"revenue":1}]}`, gateways, number%gateways))}
 	for key, value := range overrides {
 		config[key] = value
 	}
 	text, err := json.Marshal(config)
-	path := filepath.Join(dir, fmt.Sprint("config", n))
+	path := filepath.Join(dir, fmt.Sprint("config", number))
 	if err != nil || os.WriteFile(path, text, 0o600) != nil {
 		panic("cannot write the configuration file")
 	}
@@ -87,19 +87,19 @@
 }
 
 // hold keeps the i-th connection of client n until it is closed or the clients are stopped.
-func (c *idleClients) hold(conn net.Conn, n, i int) {
+func (c *idleClients) hold(conn net.Conn, client, connection int) {
 	c.open.Add(1)
 	defer c.open.Add(-1)
 	defer conn.Close()
 	closed := make(chan bool)
 	go func() {
 		defer close(closed)
-		if n%2 == 0 {
+		if client%2 == 0 {
 			path := "read"
-			if i > 0 { // transactions would be load
+			if connection > 0 { // transactions would be load
 				path = "ready"
 			}
-			fmt.Fprintf(conn, "GET /%s HTTP/1.1\r\nHost: x\r\nX-Trace-Id: idle-%d\r\nX-Qos: read\r\nX-Expires-In-Ms: 1000\r\n\r\n", path, n)
+			fmt.Fprintf(conn, "GET /%s HTTP/1.1\r\nHost: x\r\nX-Trace-Id: idle-%d\r\nX-Qos: read\r\nX-Expires-In-Ms: 1000\r\n\r\n", path, client)
 			if response, err := http.ReadResponse(bufio.NewReader(conn), nil); err == nil {
 				c.answered.Add(1)
 				io.Copy(io.Discard, response.Body)
--- a/cmd/spanmux/main.go
+++ b/cmd/spanmux/main.go
@@ -170,7 +170,7 @@
 func reload(path string, current []byte, dispatcher *routing.Dispatcher) []byte {
 	cfg, text, err := readConfig(path)
 	if err == nil {
-		err = config.CheckComplete(current, text, "known")
+		err = config.CheckNoMissingKeys(current, text, "known")
 	}
 	if err == nil {
 		err = config.CheckAddress("discovery", cfg.Discovery)
--- a/cmd/spanmux/process_test.go
+++ b/cmd/spanmux/process_test.go
@@ -37,19 +37,19 @@
 }
 
 // startGateway starts the program on an inherited listening socket, with an admin server of its own, and waits until it is ready.
-func startGateway(listener *os.File, dir string, n int, discovery, peer string) (p *exec.Cmd, admin string) {
-	return startGatewayWithLimit(nil, listener, dir, n, discovery, peer, 2*time.Second)
+func startGateway(listener *os.File, dir string, number int, discovery, peer string) (p *exec.Cmd, admin string) {
+	return startGatewayWithLimit(nil, listener, dir, number, discovery, peer, 2*time.Second)
 }
 
 // startGatewayWithLog is startGateway with the gateway's log written to a file.
-func startGatewayWithLog(log, listener *os.File, dir string, n int, discovery, peer string) (p *exec.Cmd, admin string) {
-	return startGatewayWithLimit(log, listener, dir, n, discovery, peer, 2*time.Second)
+func startGatewayWithLog(log, listener *os.File, dir string, number int, discovery, peer string) (p *exec.Cmd, admin string) {
+	return startGatewayWithLimit(log, listener, dir, number, discovery, peer, 2*time.Second)
 }
 
 // startGatewayWithLimit is startGatewayWithLog with a given hard limit for the profile read.
-func startGatewayWithLimit(log, listener *os.File, dir string, n int, discovery, peer string, hardLimit time.Duration) (p *exec.Cmd, admin string) {
+func startGatewayWithLimit(log, listener *os.File, dir string, number int, discovery, peer string, hardLimit time.Duration) (p *exec.Cmd, admin string) {
 	admin = freeAddress()
-	path := filepath.Join(dir, fmt.Sprint(n))
+	path := filepath.Join(dir, fmt.Sprint(number))
 	text, err := json.Marshal(map[string]any{"listen": "127.0.0.1:1", "control": admin, "discovery": discovery, "seed": "7",
 		"peer_listen": peer, "peers": []string{peer}, "limits": map[string]any{"sockets": 400, "memory_mb": 32},
 		"settings": json.RawMessage(`{"balancers":1,"dcs":["a"],"myZone":"a","discovery":"subscribe",` +
@@ -121,8 +121,8 @@
 }
 
 // counterValue returns a counter from the output of a gateway that has ended.
-func counterValue(dir string, n int, name string) string {
-	text, _ := os.ReadFile(filepath.Join(dir, fmt.Sprint(n, ".counters")))
+func counterValue(dir string, number int, name string) string {
+	text, _ := os.ReadFile(filepath.Join(dir, fmt.Sprint(number, ".counters")))
 	_, after, _ := strings.Cut(string(text), "spanmux_"+name+" ")
 	value, _, _ := strings.Cut(after, "\n")
 	return value
@@ -193,11 +193,11 @@
 
 // runClient sends a request every few milliseconds until stopped; some clients keep their connection, some don't. The gateway may close an idle
 // connection just as it is used again: that is counted as closed while idle, and not as rejected.
-func runClient(addr string, n int, stop chan bool, sent, closedWhileIdle, rejected *atomic.Int64) {
+func runClient(addr string, client int, stop chan bool, sent, closedWhileIdle, rejected *atomic.Int64) {
 	var conn net.Conn
 	var reader *bufio.Reader
 	fresh := false
-	for i := 0; ; i++ {
+	for request := 0; ; request++ {
 		select {
 		case <-stop:
 			return
@@ -211,7 +211,7 @@
 			}
 			reader, fresh = bufio.NewReader(conn), true
 		}
-		fmt.Fprintf(conn, "GET /read HTTP/1.1\r\nHost: x\r\nX-Trace-Id: %d-%d\r\nX-Qos: read\r\nX-Expires-In-Ms: 1500\r\n\r\n", n, i)
+		fmt.Fprintf(conn, "GET /read HTTP/1.1\r\nHost: x\r\nX-Trace-Id: %d-%d\r\nX-Qos: read\r\nX-Expires-In-Ms: 1500\r\n\r\n", client, request)
 		sent.Add(1)
 		response, err := http.ReadResponse(reader, nil)
 		if err != nil {
@@ -226,7 +226,7 @@
 		}
 		fresh = false
 		io.Copy(io.Discard, response.Body)
-		if response.Close || n%2 == 0 && i%7 == 0 {
+		if response.Close || client%2 == 0 && request%7 == 0 {
 			conn.Close()
 			conn = nil
 		}
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -23,7 +23,7 @@
 // addresses in the configuration file, which has to be 0 where limits.mayTell is false. Apart from that each setting is checked by itself:
 // a pool of gateways may price connections or set an availability target, and gateways may exchange peer messages where
 // limits.secondCopies is false.
-func CheckSettings(text []byte, peers int) error {
+func CheckSettings(text []byte, peerCount int) error {
 	var s settings
 	if err := json.Unmarshal(text, &s); err != nil {
 		return fmt.Errorf("settings: %w", err)
@@ -40,7 +40,7 @@
 		{s.Prices.Connection < 0, "prices.connection", "negative"},
 		{s.Blend.Availability < 0, "blend.availability", "negative"},
 		{s.Blend.Availability > 0 && s.Blend.FullAtNines == nil, "blend.fullAtNines", "required with blend.availability"},
-		{!s.Limits.PeerMessages && peers > 0, "peers", "not allowed without limits.mayTell"},
+		{!s.Limits.PeerMessages && peerCount > 0, "peers", "not allowed without limits.mayTell"},
 		{!slices.Contains(loadReportChannels, s.Report.Via), "report.via", "unknown value"},
 	} {
 		if rule.invalid {
--- a/internal/config/update.go
+++ b/internal/config/update.go
@@ -22,9 +22,9 @@
 // SettingsUpdate holds new settings that were checked as a whole and are not in force yet.
 type SettingsUpdate struct{ settings reloadableSettings }
 
-// CheckComplete returns an error if the next configuration lacks a key that the current one has, except for the optional top-level keys.
+// CheckNoMissingKeys returns an error if the next configuration lacks a key that the current one has, except for the optional top-level keys.
 // A missing key was more likely lost than removed on purpose.
-func CheckComplete(current, next []byte, optional ...string) error {
+func CheckNoMissingKeys(current, next []byte, optional ...string) error {
 	var currentValue, nextValue any
 	if err := json.Unmarshal(next, &nextValue); err != nil {
 		return err
@@ -112,8 +112,8 @@
 }
 
 // ParseUpdate parses and checks new settings for a running gateway. It changes nothing; ApplyUpdate does.
-func (c *ConfiguredCore) ParseUpdate(text []byte, peers int) (*SettingsUpdate, error) {
-	if err := CheckSettings(text, peers); err != nil {
+func (c *ConfiguredCore) ParseUpdate(text []byte, peerCount int) (*SettingsUpdate, error) {
+	if err := CheckSettings(text, peerCount); err != nil {
 		return nil, err
 	}
 	var next settings
--- a/internal/config/update_test.go
+++ b/internal/config/update_test.go
@@ -37,7 +37,7 @@
 		{`"revenue":1`, `"revenue":-1`}, {`"me":0`, `"me":1`}, {`"profiles":[`, `"profiles":[],"was":[`},
 	} {
 		text := strings.Replace(currentFile, change[0], change[1], 1)
-		err := config.CheckComplete([]byte(currentFile), []byte(text), "known")
+		err := config.CheckNoMissingKeys([]byte(currentFile), []byte(text), "known")
 		if err == nil {
 			_, err = core.ParseUpdate(settingsOf(text), 2)
 		}
