--- a/cmd/spanmux/idleclients_test.go
+++ b/cmd/spanmux/idleclients_test.go
@@ -17,7 +17,8 @@
 	"time"
 )
 
-// startProcess starts the program as a process of its own, with a default configuration and overrides of its top-level keys. The first of files is its listener.
+// startProcess starts the program as a process of its own, with a default configuration and overrides of its top-level keys.
+// number sets its name, its seed and its index among the gateways. The first of files is its listener.
 func startProcess(dir string, number, sockets, gateways int, overrides map[string]any, files ...*os.File) *exec.Cmd {
 	config := map[string]any{"name": fmt.Sprint(number), "listen": "127.0.0.1:1", "seed": fmt.Sprintf("%x", 7+number),
 		"limits": map[string]any{"sockets": sockets, "memory_mb": 64},
@@ -86,7 +87,8 @@
 	return clients
 }
 
-// hold keeps the i-th connection of client n until it is closed or the clients are stopped.
+// hold keeps a connection until it is closed or the clients are stopped. client and connection are the numbers of the client and of its
+// connection, from 0.
 func (c *idleClients) hold(conn net.Conn, client, connection int) {
 	c.open.Add(1)
 	defer c.open.Add(-1)
--- a/cmd/spanmux/process_test.go
+++ b/cmd/spanmux/process_test.go
@@ -37,6 +37,7 @@
 }
 
 // startGateway starts the program on an inherited listening socket, with an admin server of its own, and waits until it is ready.
+// number names its files in dir.
 func startGateway(listener *os.File, dir string, number int, discovery, peer string) (p *exec.Cmd, admin string) {
 	return startGatewayWithLimit(nil, listener, dir, number, discovery, peer, 2*time.Second)
 }
@@ -191,8 +192,8 @@
 	// second ended: <nil>
 }
 
-// runClient sends a request every few milliseconds until stopped; some clients keep their connection, some don't. The gateway may close an idle
-// connection just as it is used again: that is counted as closed while idle, and not as rejected.
+// runClient sends a request every few milliseconds until stopped. Clients with odd numbers keep their connection, others open a new one at
+// times. The gateway may close an idle connection just as it is used again: that is counted as closed while idle, and not as rejected.
 func runClient(addr string, client int, stop chan bool, sent, closedWhileIdle, rejected *atomic.Int64) {
 	var conn net.Conn
 	var reader *bufio.Reader
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -19,7 +19,7 @@
 // loadReportChannels are the values of report.via: how hosts report their load. Without the key they don't report it.
 var loadReportChannels = []string{"answers", "probe", "none", ""}
 
-// CheckSettings rejects settings that are invalid or contradict each other, with an error that names the key. peers is the number of peer
+// CheckSettings rejects settings that are invalid or contradict each other, with an error that names the key. peerCount is the number of peer
 // addresses in the configuration file, which has to be 0 where limits.mayTell is false. Apart from that each setting is checked by itself:
 // a pool of gateways may price connections or set an availability target, and gateways may exchange peer messages where
 // limits.secondCopies is false.
--- a/internal/config/update.go
+++ b/internal/config/update.go
@@ -40,7 +40,7 @@
 	return checkKeys("", currentValue, nextValue)
 }
 
-// checkKeys compares two JSON values at a path, as CheckComplete does.
+// checkKeys compares two JSON values at a path, as CheckNoMissingKeys does.
 func checkKeys(path string, current, next any) error {
 	switch current := current.(type) {
 	case map[string]any:
