--- a/cmd/spanmux/process_test.go
+++ b/cmd/spanmux/process_test.go
@@ -37,19 +37,20 @@
 }
 
 // startGateway starts the program on an inherited listening socket, with an admin server of its own, and waits until it is ready.
-func startGateway(listener *os.File, dir string, n int, discovery, peer string) (p *exec.Cmd, admin string) {
-	return startGatewayWithLimit(nil, listener, dir, n, discovery, peer, 2*time.Second)
+// number names its files in dir.
+func startGateway(listener *os.File, dir string, number int, discovery, peer string) (p *exec.Cmd, admin string) {
+	return startGatewayWithLimit(nil, listener, dir, number, discovery, peer, 2*time.Second)
 }
 
-// startGatewayWithLog does the same and writes the log to a file.
-func startGatewayWithLog(log, listener *os.File, dir string, n int, discovery, peer string) (p *exec.Cmd, admin string) {
-	return startGatewayWithLimit(log, listener, dir, n, discovery, peer, 2*time.Second)
+// startGatewayWithLog is startGateway with the gateway's log written to a file.
+func startGatewayWithLog(log, listener *os.File, dir string, number int, discovery, peer string) (p *exec.Cmd, admin string) {
+	return startGatewayWithLimit(log, listener, dir, number, discovery, peer, 2*time.Second)
 }
 
-// startGatewayWithLimit does the same with a given hard limit.
-func startGatewayWithLimit(log, listener *os.File, dir string, n int, discovery, peer string, hardLimit time.Duration) (p *exec.Cmd, admin string) {
+// startGatewayWithLimit is startGatewayWithLog with a given hard limit for the profile read.
+func startGatewayWithLimit(log, listener *os.File, dir string, number int, discovery, peer string, hardLimit time.Duration) (p *exec.Cmd, admin string) {
 	admin = freeAddress()
-	path := filepath.Join(dir, fmt.Sprint(n))
+	path := filepath.Join(dir, fmt.Sprint(number))
 	text, err := json.Marshal(map[string]any{"listen": "127.0.0.1:1", "control": admin, "discovery": discovery, "seed": "7",
 		"peer_listen": peer, "peers": []string{peer}, "limits": map[string]any{"sockets": 400, "memory_mb": 32},
 		"settings": json.RawMessage(`{"balancers":1,"dcs":["a"],"myZone":"a","discovery":"subscribe",` +
@@ -121,8 +122,8 @@
 }
 
 // counterValue returns a counter from the output of a gateway that has ended.
-func counterValue(dir string, n int, name string) string {
-	text, _ := os.ReadFile(filepath.Join(dir, fmt.Sprint(n, ".counters")))
+func counterValue(dir string, number int, name string) string {
+	text, _ := os.ReadFile(filepath.Join(dir, fmt.Sprint(number, ".counters")))
 	_, after, _ := strings.Cut(string(text), "spanmux_"+name+" ")
 	value, _, _ := strings.Cut(after, "\n")
 	return value
@@ -141,7 +142,7 @@
 // Two processes share an inherited listening socket. The second replaces the first while clients send requests all the time, on kept and on
 // new connections: none is refused, closed without a response or left unread, and the second gets the address for peer messages.
 //
-// Guards against a request that arrived in the instant of SIGTERM being accepted and its client then being taken for gone (see
+// Guards against a request that arrived in the instant of SIGTERM being accepted and its client then being taken for disconnected (see
 // ExampleClient_MarkActive_rejected). On a new connection that counts as rejected; on a kept one it looks like a connection closed while idle,
 // so that the first process's counter tx_left is checked too. Requests before and after are counted, not timed: under load the rate depends
 // on the machine.
@@ -191,13 +192,13 @@
 	// second ended: <nil>
 }
 
-// runClient sends a request every few milliseconds until stopped; some clients keep their connection, some don't. The gateway may close an idle
-// connection just as it is used again: that is counted as closed while idle, and not as rejected.
-func runClient(addr string, n int, stop chan bool, sent, closedWhileIdle, rejected *atomic.Int64) {
+// runClient sends a request every few milliseconds until stopped. Clients with odd numbers keep their connection, others open a new one at
+// times. The gateway may close an idle connection just as it is used again: that is counted as closed while idle, and not as rejected.
+func runClient(addr string, client int, stop chan bool, sent, closedWhileIdle, rejected *atomic.Int64) {
 	var conn net.Conn
 	var reader *bufio.Reader
 	fresh := false
-	for i := 0; ; i++ {
+	for request := 0; ; request++ {
 		select {
 		case <-stop:
 			return
@@ -211,7 +212,7 @@
 			}
 			reader, fresh = bufio.NewReader(conn), true
 		}
-		fmt.Fprintf(conn, "GET /read HTTP/1.1\r\nHost: x\r\nX-Trace-Id: %d-%d\r\nX-Qos: read\r\nX-Expires-In-Ms: 1500\r\n\r\n", n, i)
+		fmt.Fprintf(conn, "GET /read HTTP/1.1\r\nHost: x\r\nX-Trace-Id: %d-%d\r\nX-Qos: read\r\nX-Expires-In-Ms: 1500\r\n\r\n", client, request)
 		sent.Add(1)
 		response, err := http.ReadResponse(reader, nil)
 		if err != nil {
@@ -226,7 +227,7 @@
 		}
 		fresh = false
 		io.Copy(io.Discard, response.Body)
-		if response.Close || n%2 == 0 && i%7 == 0 {
+		if response.Close || client%2 == 0 && request%7 == 0 {
 			conn.Close()
 			conn = nil
 		}
@@ -238,8 +239,8 @@
 	dir, _ := os.MkdirTemp("", "spanmux")
 	defer os.RemoveAll(dir)
 	path := filepath.Join(dir, "config.json")
-	try := func(descriptor, control string) {
-		os.WriteFile(path, []byte(`{"listen":"127.0.0.1:0","control":"`+control+`","discovery":"127.0.0.1:9","seed":"7",`+
+	runWith := func(descriptor, adminAddr string) {
+		os.WriteFile(path, []byte(`{"listen":"127.0.0.1:0","control":"`+adminAddr+`","discovery":"127.0.0.1:9","seed":"7",`+
 			`"settings":{"balancers":1}}`), 0o600)
 		os.Setenv("BALANCER_ACCEPT_FD", descriptor)
 		defer os.Unsetenv("BALANCER_ACCEPT_FD")
@@ -247,12 +248,12 @@
 	}
 	file, _ := os.Create(filepath.Join(dir, "file"))
 	defer file.Close()
-	try("seven", "")
-	try("4711", "")
-	try("0", "")
+	runWith("seven", "")
+	runWith("4711", "")
+	runWith("0", "")
 	listener, _ := net.Listen("tcp", "127.0.0.1:0")
 	defer listener.Close()
-	try("", "nowhere")
+	runWith("", "nowhere")
 	admin := listener.Addr().String()
 	os.WriteFile(path, []byte(`{"listen":"127.0.0.1:0","control":"`+admin+`","seed":"7","settings":{"balancers":1}}`), 0o600)
 	fmt.Println(strings.Contains(fmt.Sprint(run(path, io.Discard)), "address already in use"))
@@ -300,7 +301,7 @@
 }
 
 // Eight requests at a time with bodies of 32 MiB in both directions pass through a process with a memory limit of 32 MB, to clients that read
-// slowly. If it buffered whole bodies it would need far more than the bound here, which leaves room for the race detector.
+// slowly. If it buffered whole bodies it would need far more than the bound here, which allows for the memory of the race detector.
 func Example_largeBodies() {
 	const bodyBytes = 32 << 20
 	serve := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -316,7 +317,7 @@
 	addr, socket, dir := sharedListener()
 	defer os.RemoveAll(dir)
 	p, _ := startGateway(socket, dir, 1, startDiscovery(8, serve), freeAddress())
-	whole := make(chan bool)
+	intact := make(chan bool)
 	for n := range 8 {
 		go func() {
 			conn := dial(addr)
@@ -329,15 +330,15 @@
 			time.Sleep(300 * time.Millisecond) // while the response waits
 			response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err != nil {
-				whole <- false
+				intact <- false
 				return
 			}
 			got, err := io.Copy(io.Discard, response.Body)
-			whole <- got == bodyBytes && err == nil
+			intact <- got == bodyBytes && err == nil
 		}()
 	}
 	for range 8 {
-		fmt.Print(<-whole, " ")
+		fmt.Print(<-intact, " ")
 	}
 	status, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.Process.Pid))
 	_, peak, _ := strings.Cut(string(status), "VmHWM:")
@@ -355,11 +356,11 @@
 // serves the client's next request. The first ends without waiting.
 func Example_handedOver() {
 	const bodyBytes = 3 << 20
-	discovery := startDiscovery(1, func(w http.ResponseWriter, reader *http.Request) {
-		if reader.URL.RawQuery == "sized" {
+	discovery := startDiscovery(1, func(w http.ResponseWriter, request *http.Request) {
+		if request.URL.RawQuery == "sized" {
 			w.Header().Set("Content-Length", fmt.Sprint(bodyBytes))
 		}
-		if reader.URL.RawQuery == "short" {
+		if request.URL.RawQuery == "short" {
 			return
 		}
 		for sent := 0; sent < bodyBytes; sent += 32 << 10 { // in about four seconds
@@ -385,11 +386,11 @@
 					return
 				}
 				body, err := io.ReadAll(response.Body)
-				whole := len(body) == bodyBytes || n == 1
-				for discovery := 0; discovery < len(body) && whole; discovery++ {
-					whole = body[discovery] == byte(discovery>>15)
+				intact := len(body) == bodyBytes || n == 1
+				for position := 0; position < len(body) && intact; position++ {
+					intact = body[position] == byte(position>>15)
 				}
-				result += fmt.Sprint(" ", response.StatusCode, " ", whole, " ", err)
+				result += fmt.Sprint(" ", response.StatusCode, " ", intact, " ", err)
 			}
 			results <- result
 		}()
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -19,11 +19,11 @@
 // loadReportChannels are the values of report.via: how hosts report their load. Without the key they don't report it.
 var loadReportChannels = []string{"answers", "probe", "none", ""}
 
-// CheckSettings rejects settings that are invalid or contradict each other, with an error that names the key. peers is the number of peer
+// CheckSettings rejects settings that are invalid or contradict each other, with an error that names the key. peerCount is the number of peer
 // addresses in the configuration file, which has to be 0 where limits.mayTell is false. Apart from that each setting is checked by itself:
 // a pool of gateways may price connections or set an availability target, and gateways may exchange peer messages where
 // limits.secondCopies is false.
-func CheckSettings(text []byte, peers int) error {
+func CheckSettings(text []byte, peerCount int) error {
 	var s settings
 	if err := json.Unmarshal(text, &s); err != nil {
 		return fmt.Errorf("settings: %w", err)
@@ -40,7 +40,7 @@
 		{s.Prices.Connection < 0, "prices.connection", "negative"},
 		{s.Blend.Availability < 0, "blend.availability", "negative"},
 		{s.Blend.Availability > 0 && s.Blend.FullAtNines == nil, "blend.fullAtNines", "required with blend.availability"},
-		{!s.Limits.PeerMessages && peers > 0, "peers", "not allowed without limits.mayTell"},
+		{!s.Limits.PeerMessages && peerCount > 0, "peers", "not allowed without limits.mayTell"},
 		{!slices.Contains(loadReportChannels, s.Report.Via), "report.via", "unknown value"},
 	} {
 		if rule.invalid {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -83,7 +83,7 @@
 
 // effectsByName has the values of a profile's effect.
 var effectsByName = map[string]logic.Effect{
-	"idempotent": logic.Idempotent, "deduplicated": logic.Journalled, "at_most_once": logic.NonIdempotent,
+	"idempotent": logic.Idempotent, "deduplicated": logic.Deduplicated, "at_most_once": logic.NonIdempotent,
 }
 
 // capacityHintsByName has the values of weights: what the capacity hints in the host list mean. Without the key the hints are ignored.
@@ -97,8 +97,8 @@
 // microseconds converts a duration setting, which is in microseconds.
 func microseconds(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 
-// Instance is the decision core of one gateway, with the settings that the code around the core needs to call it.
-type Instance struct {
+// ConfiguredCore is the decision core of one gateway, with the settings that the code around the core needs to call it.
+type ConfiguredCore struct {
 	logic.Core
 	GatewayCount, GatewayIndex    int            // how many gateways there are, and the index of this one
 	KeyAffinity                   bool           // hosts keep recently used objects warm, so the core gets the object's hash
@@ -106,7 +106,7 @@
 	MaxHardLimit                  time.Duration  // the longest hard limit of any profile in force
 	IdleConnTimeout               time.Duration  // after which hosts close an idle connection
 	ConnectTimeout                time.Duration  // for establishing a connection to a host
-	HostListPushed                bool           // list changes come unasked, and count as known from then on whether or not they were received
+	HostListPushed                bool           // discovery pushes list changes; each counts as known from then on, whether or not it was received
 	DrainGrace                    time.Duration  // after a host drains or leaves, in which hops that reach it are not a fault
 	listPollInterval              time.Duration  // the argument of Parse
 	topology                      logic.Topology
@@ -118,8 +118,8 @@
 }
 
 // Start creates the decision core. Until predecessorActiveUntil the process that this one replaces may still be sending hops.
-func (in *Instance) Start(executor logic.Executor, now time.Duration, seed uint64, predecessorActiveUntil time.Duration) {
-	in.Core = in.newCore(executor, now, seed, predecessorActiveUntil)
+func (c *ConfiguredCore) Start(executor logic.Executor, now time.Duration, seed uint64, predecessorActiveUntil time.Duration) {
+	c.Core = c.newCore(executor, now, seed, predecessorActiveUntil)
 }
 
 // reloadableSettings are the settings that may change while the gateway runs.
@@ -136,7 +136,7 @@
 	costs          logic.CostModel
 }
 
-// retryBudget parses the three settings of the retry budget. They are given together or not at all: if one is missing it was more likely
+// retryBudget parses the three settings of the retry budget. They are set together or not at all: if one is missing it was more likely
 // lost than left out on purpose.
 func (s *settings) retryBudget() (logic.RetryBudget, error) {
 	obligations := s.Obligations
@@ -168,7 +168,7 @@
 			return result, fmt.Errorf("settings: profile %s: unknown effect %q", profile.Name, profile.Effect)
 		}
 		scope, ok := dedupScopesByName[profile.DedupScope]
-		if !ok && effect == logic.Journalled {
+		if !ok && effect == logic.Deduplicated {
 			return result, fmt.Errorf("settings: profile %s: unknown group %q", profile.Name, profile.DedupScope)
 		}
 		result.maxHardLimit = max(result.maxHardLimit, microseconds(profile.HardLimit))
@@ -182,7 +182,7 @@
 	if s.Limits.RetryAfter {
 		result.hops.MaxRetryAfter = microseconds(s.Limits.MaxRetryAfter)
 	}
-	result.hops.MaxHops, result.hops.CallOff = s.Limits.MaxHops, s.Limits.Cancelling
+	result.hops.MaxHops, result.hops.CallOffAllowed = s.Limits.MaxHops, s.Limits.Cancelling
 	if nines := s.Blend.FullAtNines; nines != nil && (*nines <= 0 || *nines > maxAvailabilityNines) {
 		return result, fmt.Errorf("settings: blend.fullAtNines: %g is out of range", *nines)
 	} else if nines != nil && s.Blend.Availability > 0 {
@@ -235,10 +235,10 @@
 	return result, nil
 }
 
-// Parse parses the settings in text. Where these say that changes of the host list are pushed, listPollInterval is how long the gateway may
-// go without requesting the list all the same: over HTTP some call has to be open, or no change would ever arrive. It is 0 where changes
+// Parse parses the settings in text. Where these say that changes of the host list are pushed, listPollInterval is the longest interval
+// between requests for the list all the same: over HTTP some call has to be open, or no change would ever arrive. It is 0 where changes
 // do come by themselves, as in the simulator.
-func Parse(text []byte, listPollInterval time.Duration) (*Instance, error) {
+func Parse(text []byte, listPollInterval time.Duration) (*ConfiguredCore, error) {
 	var s settings
 	if err := json.Unmarshal(text, &s); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -247,16 +247,16 @@
 	if err != nil {
 		return nil, err
 	}
-	instance := &Instance{GatewayCount: s.GatewayCount, GatewayIndex: s.GatewayIndex, KeyAffinity: s.Specifics.KeyAffinity,
+	core := &ConfiguredCore{GatewayCount: s.GatewayCount, GatewayIndex: s.GatewayIndex, KeyAffinity: s.Specifics.KeyAffinity,
 		listPollInterval: listPollInterval, gatewayPerClient: s.gatewayPerClient(),
 		IdleConnTimeout: microseconds(s.Limits.IdleConnTimeout), ConnectTimeout: microseconds(s.Limits.ConnectTimeout),
 		topology: logic.Topology{GatewayCount: s.GatewayCount, GatewayIndex: s.GatewayIndex, Zone: s.MyZone, Zones: s.Zones}}
-	instance.activate(0, &reloadable)
-	instance.newCore = func(executor logic.Executor, now time.Duration, seed uint64, predecessorActiveUntil time.Duration) logic.Core {
+	core.activate(0, &reloadable)
+	core.newCore = func(executor logic.Executor, now time.Duration, seed uint64, predecessorActiveUntil time.Duration) logic.Core {
 		coldHosts := reloadable.coldHosts
 		coldHosts.PredecessorActiveUntil = predecessorActiveUntil
-		return logic.New(executor, now, seed, instance.topology, instance.knownProfiles, reloadable.tenants, coldHosts,
+		return logic.New(executor, now, seed, core.topology, core.knownProfiles, reloadable.tenants, coldHosts,
 			reloadable.drain, reloadable.hops, reloadable.sources, reloadable.costs)
 	}
-	return instance, nil
+	return core, nil
 }
--- a/internal/config/update_test.go
+++ b/internal/config/update_test.go
@@ -21,8 +21,8 @@
 }
 
 // An invalid configuration file is rejected as a whole, with an error that names the key at fault.
-func ExampleInstance_ParseUpdate() {
-	instance, err := config.Parse(settingsOf(currentFile), 0)
+func ExampleConfiguredCore_ParseUpdate() {
+	core, err := config.Parse(settingsOf(currentFile), 0)
 	if err != nil {
 		panic(err)
 	}
@@ -37,9 +37,9 @@
 		{`"revenue":1`, `"revenue":-1`}, {`"me":0`, `"me":1`}, {`"profiles":[`, `"profiles":[],"was":[`},
 	} {
 		text := strings.Replace(currentFile, change[0], change[1], 1)
-		err := config.CheckComplete([]byte(currentFile), []byte(text), "known")
+		err := config.CheckNoMissingKeys([]byte(currentFile), []byte(text), "known")
 		if err == nil {
-			_, err = instance.ParseUpdate(settingsOf(text), 2)
+			_, err = core.ParseUpdate(settingsOf(text), 2)
 		}
 		if len(change[0]) == len(currentFile) {
 			change[0] = "all"
@@ -112,8 +112,8 @@
 	// "2" -> settings: json: cannot unmarshal string into Go struct field .limits.responseRoom of type int
 }
 
-// Gateways with other profile indexes understand each other: here one of them has had profiles removed and added.
-func ExampleInstance_DecodePeerMessage() {
+// Gateways whose profile indexes differ understand each other: here one of them has had profiles removed and added.
+func ExampleConfiguredCore_DecodePeerMessage() {
 	sender, _ := config.Parse(settingsOf(currentFile), 0)
 	receiver, _ := config.Parse(settingsOf(strings.Replace(currentFile, `"name":"read"`, `"name":"list"`, 1)), 0)
 	if update, err := receiver.ParseUpdate(settingsOf(currentFile), 2); err == nil {
@@ -137,7 +137,7 @@
 	find(2*time.Second, "list", logic.Idempotent)
 	find(3*time.Second, "list", logic.Idempotent)
 	find(3*time.Second, "read", logic.Idempotent)
-	find(3*time.Second, "read", logic.Journalled)
+	find(3*time.Second, "read", logic.Deduplicated)
 	// Output:
 	// 0 index 0 -> 0 index 0 5 3 <nil>
 	// 3 index 0 -> 3 index 2 0 0 <nil>
--- a/logic/faultinjection_test.go
+++ b/logic/faultinjection_test.go
@@ -13,10 +13,10 @@
 // fault that looks alike but needs a different reaction. Results are compared with the same run without the fault, for the transactions
 // that arrive after the gateways have had a third of the fault's duration to detect it.
 const (
-	faultStart         = 6 * time.Second
-	faultFreeTail      = 2 * time.Second // from the end of the fault to the end of the run
-	maxInGoalLoss      = 0.05            // in the fraction committed within the goal, compared with the run without the fault
-	avoidedShareOfEven = 0.5             // hosts with less than this multiple of an even share of the hops count as avoided
+	faultStart            = 6 * time.Second
+	faultFreeTail         = 2 * time.Second // from the end of the fault to the end of the run
+	maxInGoalLoss         = 0.05            // in the fraction committed within the goal, compared with the run without the fault
+	avoidedShareThreshold = 0.5             // hosts with less than this multiple of an even share of the hops count as avoided
 )
 
 // faultSourceCases are small and large numbers of gateways with very different information about hosts.
@@ -48,7 +48,7 @@
 	sourceCase := faultSourceCases[i]
 	d := deployment{sourcesName: sourceCase.name, sources: sourceCase.sources, reportedFields: sourceCase.reportedFields, gatewayCount: sourceCase.gatewayCount, zoneCount: 2, hostCount: 8, coresPerHost: 2, slotsPerHost: 20, sharesCores: true,
 		slowKindSpeed: 1, workDistribution: "exponential", waitToWorkRatio: 0.5, seed: uint64(i), arrivalDuration: 20 * time.Second, txPerSecond: 80,
-		costModel: logic.CostModel{CrossZoneHop: 0.02}, hopRule: logic.HopRule{MaxHops: 3, CallOff: true, MaxRetryAfter: time.Second},
+		costModel: logic.CostModel{CrossZoneHop: 0.02}, hopRule: logic.HopRule{MaxHops: 3, CallOffAllowed: true, MaxRetryAfter: time.Second},
 		profiles: []simProfile{
 			{Profile: logic.Profile{Name: "read", Effect: logic.Idempotent, ServiceGoal: 600 * ms, Revenue: 1, LateRevenueFraction: 0.3}, trafficFraction: 0.7, meanWork: 50 * ms},
 			{Profile: logic.Profile{Name: "order", Effect: logic.NonIdempotent, ServiceGoal: 1200 * ms, Revenue: 3, LateRevenueFraction: 0.3}, trafficFraction: 0.3,
@@ -153,7 +153,7 @@
 // checkAvoided checks that hosts get at most half of an even share of the hops that filter selects.
 func checkAvoided(t *testing.T, description string, sim *simulation, hosts []logic.HostID, filter func(*simHop) bool) {
 	t.Helper()
-	checkAtMost(t, "hops to "+description, sim.hopFraction(hosts, filter), avoidedShareOfEven*float64(len(hosts))/float64(sim.hostCount))
+	checkAtMost(t, "hops to "+description, sim.hopFraction(hosts, filter), avoidedShareThreshold*float64(len(hosts))/float64(sim.hostCount))
 }
 
 // checkServed checks that the fraction committed within the goal, of the transactions that filter selects, is at most maxLoss below that
@@ -261,7 +261,7 @@
 	for _, outcome := range []logic.HopOutcome{logic.HopNoConnection, logic.HopError} {
 		t.Run(outcomeNames[outcome], func(t *testing.T) {
 			runFaultTest(t, nil, func(d *deployment) {
-				d.profiles[orderProfileIndex].Effect, d.profiles[orderProfileIndex].DedupWindow = logic.Journalled, time.Second
+				d.profiles[orderProfileIndex].Effect, d.profiles[orderProfileIndex].DedupWindow = logic.Deduplicated, time.Second
 			}, func(sim *simulation) {
 				sim.failHop = func(hop *simHop) (logic.HopOutcome, bool) {
 					down := sim.faultActive() && slices.Contains(quarterOfHosts, hop.host.ID) && (sim.now+time.Duration(hop.host.ID)*700*ms)%(3*time.Second) < 1500*ms
@@ -285,7 +285,7 @@
 		}
 	}, func(t *testing.T, faultFree, sim *simulation) {
 		checkServed(t, "all", faultFree, sim, nil, 0.02)
-		checkAtLeast(t, "hops to the host that failed briefly", sim.hopFraction([]logic.HostID{1}, nil), avoidedShareOfEven/8)
+		checkAtLeast(t, "hops to the host that failed briefly", sim.hopFraction([]logic.HostID{1}, nil), avoidedShareThreshold/8)
 	})
 }
 
