--- a/internal/routing/bounds.go
+++ b/internal/routing/bounds.go
@@ -124,8 +124,8 @@
 	// overlapSocketFraction is the share for a process while its predecessor may still run, which needs fewer and fewer.
 	overlapSocketFraction = 0.55
 
-	// overlapDuration is the time from a successor accepting clients until its predecessor has hardly any.
-	overlapDuration = 1500 * time.Millisecond
+	// predecessorOverlapDuration is the time from a successor accepting clients until its predecessor has hardly any.
+	predecessorOverlapDuration = 1500 * time.Millisecond
 
 	// predecessorActiveDuration is the time after the start by which the predecessor has ended, whatever it had accepted.
 	predecessorActiveDuration = 10 * time.Second
--- a/internal/routing/run.go
+++ b/internal/routing/run.go
@@ -129,7 +129,7 @@
 func (d *Dispatcher) Serve() {
 	if d.sharedListener {
 		<-d.listReceived
-		time.AfterFunc(overlapDuration, func() {
+		time.AfterFunc(predecessorOverlapDuration, func() {
 			if !d.closing.Load() {
 				d.connLimit.SetMax(d.singleProcessConnLimit)
 			}
--- a/internal/transport/client_reject_test.go
+++ b/internal/transport/client_reject_test.go
@@ -37,7 +37,7 @@
 			c.conn = rejectingConn{c.conn.(*net.TCPConn), func() {
 				l.mu.Lock()
 				defer l.mu.Unlock()
-				l.reject(level)
+				l.setRejectLevel(level)
 			}}
 			c.MarkActive()
 			time.AfterFunc(20*time.Millisecond, func() { c.conn.SetReadDeadline(time.Now()) }) // as at the idle time-out after the response
--- a/internal/transport/drain.go
+++ b/internal/transport/drain.go
@@ -54,7 +54,7 @@
 	defer l.mu.Unlock()
 	l.draining = true
 	l.scheduleIdleCloses(handoverFirstCloseDelay, handoverLastCloseDelay)
-	l.reject(rejectUndispatched)
+	l.setRejectLevel(rejectUndispatched)
 }
 
 // SetRetainBudget sets how many bytes of incomplete requests may be retained in all, for the next process to
@@ -67,12 +67,12 @@
 func (l *Listener) RejectIncomplete() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.reject(rejectIncomplete)
+	l.setRejectLevel(rejectIncomplete)
 }
 
-// reject sets which requests are rejected, and interrupts the reads concerned so that they notice. The caller
+// setRejectLevel sets which requests are rejected, and interrupts the reads concerned so that they notice. The caller
 // holds the lock.
-func (l *Listener) reject(level int32) {
+func (l *Listener) setRejectLevel(level int32) {
 	l.rejecting.Store(level)
 	for c := range l.clients { // in any order: it concerns all
 		if c.state == stateReading || c.state == stateNew || level == rejectIncomplete && c.streamingBody {
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -612,10 +612,10 @@
 // trial is returned at once. With allowBarred open breakers are ignored, except those opened by overload.
 func (b *Balancer) pickFromGroup(g *zoneGroup, t *tx, allowBarred bool,
 	nearFullTime float64) (pick *host, expectedTime float64) {
-	candidates := make([]candidate, 0, min(b.subsetSize()+t.extraCandidates(), len(g.hosts)))
+	candidates := make([]candidate, 0, min(b.subsetSize()+t.extraRetryCandidates(), len(g.hosts)))
 	var meanTime movingAverage
 	allHopsKnown := b.topology.GatewayCount <= maxIndependentGateways || b.coordinating
-	for _, h := range g.hosts[:min(b.subsetSize()+t.extraCandidates(), len(g.hosts))] {
+	for _, h := range g.hosts[:min(b.subsetSize()+t.extraRetryCandidates(), len(g.hosts))] {
 		if !t.mayRunOn(h, b.now) || !b.withinColdBudget(h, t.profile) ||
 			ternary(allowBarred, h.openedByOverload(t.profile), b.unresponsive(h)) || b.connectionBlocked(h) ||
 			b.coordinating && !b.picksFor(g) && b.now-h.inFlightByPeer[b.coordinatorOf(g)].receivedAt >
@@ -961,7 +961,7 @@
 		return b.randomlyOverRamp(b.congestion(g, t.profile), congestionShedRampStart, congestionShedRampEnd)
 	}
 	congestion := max(b.congestion(t.homeGroup, t.profile), b.congestion(g, t.profile))
-	load := congestion * b.referenceTime(t.profile) / b.maxWorthwhileTime(t.profile) *
+	load := congestion * b.latencyRatioBaseline(t.profile) / b.maxWorthwhileTime(t.profile) *
 		(g.inFlightAtTargets + spareInFlightPerCore) / maxInFlightPerCore
 	return b.random.uniform() < b.shedProbability(g, math.Sqrt(load)-shedLoadThreshold)
 }
--- a/logic/state.go
+++ b/logic/state.go
@@ -471,7 +471,7 @@
 // profiles that earn no more than this one it counts in full. For those that earn more it counts less, as hosts may
 // serve them first.
 func (b *Balancer) recordLatencyRatio(h *host, profile int, result HopResult, hostHangs bool) {
-	ratio := float64(result.Latency) / b.referenceTime(profile)
+	ratio := float64(result.Latency) / b.latencyRatioBaseline(profile)
 	switch result.Outcome {
 	case HopCommitted:
 	case HopTimedOut, HopCalledOff:
@@ -506,9 +506,9 @@
 	}
 }
 
-// referenceTime returns the time in ns that latency ratios refer to: the least service time of the profile, or the
+// latencyRatioBaseline returns the time in ns that latency ratios refer to: the least service time of the profile, or the
 // initial guess, a fraction of the service goal, where that is more.
-func (b *Balancer) referenceTime(profile int) float64 {
+func (b *Balancer) latencyRatioBaseline(profile int) float64 {
 	return max(b.minServiceTime[profile], initialServiceTimeGoalFraction*float64(b.profiles[profile].ServiceGoal))
 }
 
@@ -534,7 +534,7 @@
 	for _, t := range b.txs { // the order does not matter for a sum
 		for i := range t.hops {
 			hop := &t.hops[i]
-			age := float64(b.now-hop.sentAt) / b.referenceTime(t.profile) / lateHopAgeDivisor
+			age := float64(b.now-hop.sentAt) / b.latencyRatioBaseline(t.profile) / lateHopAgeDivisor
 			if !hop.ended && hop.host.group == g && age > value &&
 				b.revenueForWork(t.profile) >= b.revenueForWork(profile) && !b.suspectedOutlier(t.tenant) {
 				excess += lateHopCongestionFraction * (age - value)
@@ -863,9 +863,9 @@
 	return t.ownGroup()
 }
 
-// rank returns a number in [0, 1) by which this gateway orders its hosts, lower ones preferred. It is the same for all
+// preferenceRank returns a number in [0, 1) by which this gateway orders its hosts, lower ones preferred. It is the same for all
 // hosts if the gateway has no order of its own.
-func (t *hostTable) rank(id HostID) float64 {
+func (t *hostTable) preferenceRank(id HostID) float64 {
 	return ternary(t.rankSeed == 0, &randomSource{}, &randomSource{t.rankSeed, uint32(id)}).uniform()
 }
 
@@ -887,7 +887,7 @@
 		membershipChanged = membershipChanged || h == nil || entry.State != h.State || entry.Zone != h.Zone
 		if h == nil || entry.State == HostReady && h.StartedAt != entry.StartedAt {
 			if h == nil {
-				h = &host{rank: t.rank(entry.ID)}
+				h = &host{rank: t.preferenceRank(entry.ID)}
 				t.byID[entry.ID] = h
 			}
 			added = append(added, h)
@@ -1494,9 +1494,9 @@
 	return count
 }
 
-// extraCandidates returns how many hosts beyond the subset a pick considers for a transaction that may have run: its
+// extraRetryCandidates returns how many hosts beyond the subset a pick considers for a transaction that may have run: its
 // group may be all that it can go to, and the subset used up.
-func (t *tx) extraCandidates() int { return ternary(t.possiblyRunHop() != nil, len(t.hops), 0) }
+func (t *tx) extraRetryCandidates() int { return ternary(t.possiblyRunHop() != nil, len(t.hops), 0) }
 
 // possiblyRunHop returns the first hop that may have been executed, or still may, nil if there is none.
 func (t *tx) possiblyRunHop() *hop {
