--- a/internal/given/retune.go
+++ b/internal/given/retune.go
@@ -124,7 +124,7 @@
 		broken bool
 		key    string
 	}{
-		{to.Balancers != place.Gateways, "balancers"}, {to.Me != place.Me, "me"}, {to.MyZone != place.Zone, "myZone"},
+		{to.Balancers != place.GatewayCount, "balancers"}, {to.Me != place.GatewayIndex, "me"}, {to.MyZone != place.Zone, "myZone"},
 		{!slices.Equal(to.Zones, place.Zones), "dcs"}, {to.ofItsOwn() != o.own, "limits.secondCopies"},
 	} {
 		if rule.broken {
@@ -167,7 +167,7 @@
 func (o *Opened) Retune(now time.Duration, to *Retuning) {
 	r := &to.rules
 	o.inForce(now, r)
-	o.Gateway.Retune(now, o.known, r.tenants, r.cold, r.drains, r.hops, r.from, r.price)
+	o.Core.Reconfigure(now, o.known, r.tenants, r.cold, r.drains, r.hops, r.from, r.price)
 }
 
 // inForce gives places to profiles. One never comes to mean another name or effect: open transactions, and what was learnt, go by
@@ -179,7 +179,7 @@
 		if late[i] == 0 {
 			late[i] = now + lateFor
 		}
-		known[i].Dropped = true
+		known[i].Removed = true
 	}
 	o.Profiles, o.Tenants, o.marked, o.Longest = map[string]int{}, map[string]int{}, map[uint16]int{}, r.longest
 	o.Pushed, o.Grace = r.pushed, r.grace
--- a/internal/protocol/list.go
+++ b/internal/protocol/list.go
@@ -33,7 +33,7 @@
 const Terminating = "terminating"
 
 var states = map[string]logic.HostState{
-	"in_service": logic.Ready, Terminating: logic.Draining, "terminated": logic.Gone,
+	"in_service": logic.HostReady, Terminating: logic.HostDraining, "terminated": logic.HostGone,
 }
 
 // ParseList reads a list. One entry that makes no sense spoils it: it can't be told what else is wrong.
@@ -53,7 +53,7 @@
 // Host is the entry as the module takes it; since is the time of a start on the module's clock.
 func (e *Entry) Host(id logic.HostID, since func(bootMS int64) time.Duration) logic.Host {
 	return logic.Host{ID: id, Zone: e.Zone, Kind: e.Model, Cell: e.Cell, State: states[e.State],
-		Size: e.Size, Started: since(e.BootMS)}
+		CapacityHint: e.Size, StartedAt: since(e.BootMS)}
 }
 
 // What the calls without a transaction ask for.
--- a/internal/protocol/transaction.go
+++ b/internal/protocol/transaction.go
@@ -155,7 +155,7 @@
 	Status   int
 	NeverRan bool // the host says that it has not begun
 	Declined bool // the host can't use the transaction, and no other could
-	Load     logic.Load
+	Load     logic.LoadReport
 	LoadErr  error // what is wrong with a report that came
 	Body     []byte
 	head     []byte
@@ -174,7 +174,7 @@
 		}
 		return nil, false, err
 	}
-	a = &Answer{Status: h.Status, Load: logic.NoLoad, length: -1}
+	a = &Answer{Status: h.Status, Load: logic.NoLoadReport, length: -1}
 	never, _ := h.Get(neverField)
 	a.NeverRan = (a.Status == 503 || a.Status == 504) && string(never) == "1"
 	if report, ok := h.Get(loadField); ok {
@@ -221,8 +221,8 @@
 
 // Load reads a load report: figures set apart by commas, by the names of the sockets or of the settings. Others
 // are passed over.
-func Load(text []byte) (logic.Load, error) {
-	l := logic.NoLoad
+func Load(text []byte) (logic.LoadReport, error) {
+	l := logic.NoLoadReport
 	text = bytes.TrimSpace(bytes.TrimPrefix(bytes.TrimSpace(text), []byte("TEXT ")))
 	for len(text) > 0 {
 		var pair []byte
@@ -230,19 +230,19 @@
 		name, value, ok := bytes.Cut(bytes.TrimSpace(pair), []byte("="))
 		n, err := strconv.ParseFloat(string(value), 64)
 		if !ok || err != nil || !(n >= 0 && n < 1e9) {
-			return logic.NoLoad, &Wrong{400, "malformed load report"}
+			return logic.NoLoadReport, &Wrong{400, "malformed load report"}
 		}
 		switch string(bytes.TrimPrefix(name, []byte("named_metrics."))) {
 		case "inflight", "rif":
-			l.Held = n
+			l.InFlight = n
 		case "queue", "q":
-			l.Waiting = n
+			l.Queued = n
 		case "util", "busy":
-			l.Busy = n
+			l.Utilization = n
 		case "qps", "rate":
-			l.Rate = n
+			l.RequestsPerSecond = n
 		case "latency_ms", "lat_ms":
-			l.Took = n
+			l.LatencyMs = n
 		}
 	}
 	return l, nil
--- a/internal/routing/admit.go
+++ b/internal/routing/admit.go
@@ -54,12 +54,12 @@
 
 // arrival is a transaction as the module takes it; under the lock, as tenants may change.
 func (d *Desk) arrival(said *protocol.Transaction, profile int, budget time.Duration) logic.Arrival {
-	a := logic.Arrival{Profile: profile, Tenant: -1, Budget: budget, Coming: said.Rest != nil}
+	a := logic.Arrival{ProfileIndex: profile, TenantIndex: -1, Budget: budget, BodyPending: said.Rest != nil}
 	if d.opened.WarmKeys && len(said.Object) > 0 {
-		a.Key = crc32.ChecksumIEEE(said.Object) | 1
+		a.AffinityKey = crc32.ChecksumIEEE(said.Object) | 1
 	}
 	if tenant, ok := d.opened.Tenants[said.Tenant]; ok {
-		a.Tenant = tenant
+		a.TenantIndex = tenant
 	}
 	return a
 }
--- a/internal/routing/book.go
+++ b/internal/routing/book.go
@@ -27,7 +27,7 @@
 	Open                                      count // taken and not ended
 	Handed, Adopted                           count // streamed answers that went over to the next process, and came from the one before
 	Applied, Rejected                         count // files taken and turned down
-	Ends                                      [logic.Moot + 1]count
+	Ends                                      [logic.HopNotSent + 1]count
 	Probes, Probed                            count
 	Lists, ListsLost                          count
 	ListsAgain, ListsOlder                    count // had again at once, as the watch was cut off; older than what is in hand, and not taken
@@ -82,7 +82,7 @@
 		shown.Succeeded[name] = y.committed.Load()
 		shown.Declined[name], shown.Aborted[name] = y.rolledBack.Load(), y.aborted.Load()
 	}
-	shown.Discovered, shown.Ejected = len(d.list.addr), d.opened.Avoided()
+	shown.Discovered, shown.Ejected = len(d.list.addr), d.opened.AvoidedHosts()
 	d.mu.Unlock()
 	text, err := json.Marshal(shown)
 	must.Hold(err == nil, "figures can be written")
@@ -123,10 +123,10 @@
 		{"answers_streamed", &b.Streamed}, {"answers_cut_off", &b.CutOff},
 		{"answers_handed_over", &b.Handed}, {"answers_adopted", &b.Adopted}, {"tx_open", &b.Open},
 		{"files_taken", &b.Applied}, {"files_turned_down", &b.Rejected},
-		{"hops_committed", &b.Ends[logic.Committed]}, {"hops_error", &b.Ends[logic.Error]},
-		{"hops_full", &b.Ends[logic.Full]}, {"hops_timed_out", &b.Ends[logic.TimedOut]},
-		{"hops_no_connection", &b.Ends[logic.NoConnection]}, {"hops_broken", &b.Ends[logic.Broken]},
-		{"hops_called_off", &b.Ends[logic.CalledOff]}, {"hops_declined", &b.Ends[logic.Moot]},
+		{"hops_committed", &b.Ends[logic.HopCommitted]}, {"hops_error", &b.Ends[logic.HopError]},
+		{"hops_full", &b.Ends[logic.HopHostFull]}, {"hops_timed_out", &b.Ends[logic.HopTimedOut]},
+		{"hops_no_connection", &b.Ends[logic.HopNoConnection]}, {"hops_broken", &b.Ends[logic.HopConnectionBroken]},
+		{"hops_called_off", &b.Ends[logic.HopCalledOff]}, {"hops_declined", &b.Ends[logic.HopNotSent]},
 		{"probes", &b.Probes}, {"probes_answered", &b.Probed},
 		{"lists", &b.Lists}, {"lists_lost", &b.ListsLost}, {"lists_again", &b.ListsAgain},
 		{"lists_older", &b.ListsOlder}, {"tells", &b.Tells}, {"tells_unsent", &b.Untold},
--- a/internal/routing/handover.go
+++ b/internal/routing/handover.go
@@ -309,7 +309,7 @@
 // learned is what this process has learnt, for the next.
 func (d *Desk) learned() []byte {
 	d.mu.Lock()
-	what := d.opened.Learnt(d.now())
+	what := d.opened.ExportLearned(d.now())
 	d.mu.Unlock()
 	text, err := json.Marshal(what)
 	must.Hold(err == nil, "what was learnt can be written")
@@ -319,6 +319,6 @@
 // learn has the module take in what the process before had learnt, of the hosts that are known by now. Under the lock, within the module's turn.
 func (d *Desk) learn(now time.Duration) {
 	if !d.learnt.at.IsZero() {
-		d.opened.Learn(now, d.learnt.what, time.Since(d.learnt.at))
+		d.opened.ImportLearned(now, d.learnt.what, time.Since(d.learnt.at))
 	}
 }
--- a/internal/routing/relay.go
+++ b/internal/routing/relay.go
@@ -12,24 +12,24 @@
 	"spanmux/logic"
 )
 
-var endOf = map[transport.How]logic.End{
-	transport.NeverUp: logic.NoConnection, transport.NotWritten: logic.NoConnection, transport.Broken: logic.Broken,
-	transport.TimedOut: logic.TimedOut, transport.GivenUp: logic.CalledOff, transport.Withdrawn: logic.NoConnection,
+var endOf = map[transport.How]logic.HopOutcome{
+	transport.NeverUp: logic.HopNoConnection, transport.NotWritten: logic.HopNoConnection, transport.Broken: logic.HopConnectionBroken,
+	transport.TimedOut: logic.HopTimedOut, transport.GivenUp: logic.HopCalledOff, transport.Withdrawn: logic.HopNoConnection,
 }
 
 // end is how a hop ended, for the module.
-func (h *hop) end(how transport.How) logic.End {
+func (h *hop) end(how transport.How) logic.HopOutcome {
 	switch {
 	case how != transport.Answered:
 		return endOf[how]
 	case h.answer.Status == 200 && h.whole: // else it was made for another, as no host begins before the last byte
-		return logic.Committed
+		return logic.HopCommitted
 	case h.answer.Declined:
-		return logic.Moot
+		return logic.HopNotSent
 	case h.answer.NeverRan || !h.whole: // a host begins with the last byte
-		return logic.Full
+		return logic.HopHostFull
 	}
-	return logic.Error
+	return logic.HopError
 }
 
 // ended tells the module how a hop ended; the first that commits is the transaction's final answer. One that its host
@@ -46,7 +46,7 @@
 		d.unsent(h)
 		return
 	}
-	end, load := h.end(how), logic.NoLoad
+	end, load := h.end(how), logic.NoLoadReport
 	if h.answer != nil {
 		load = h.answer.Load
 		if h.answer.LoadErr != nil {
@@ -63,8 +63,8 @@
 		d.closeGone(h.to)
 		d.Book.Ends[end].Add(1)
 		switch {
-		case t.answered || end != logic.Committed && end != logic.Moot:
-		case end == logic.Committed:
+		case t.answered || end != logic.HopCommitted && end != logic.HopNotSent:
+		case end == logic.HopCommitted:
 			d.answer(t, &d.Book.Committed, 200, h.answer.ForClient)
 		default:
 			d.answer(t, &d.Book.Declined, h.answer.Status, h.answer.ForClient)
@@ -72,7 +72,7 @@
 				d.Book.wrong("declined by its host", slog.Int("status", h.answer.Status), slog.String("trace", t.said.Trace))
 			})
 		}
-		d.opened.HopEnded(now, t.id, h.number, logic.Result{End: end, Took: time.Since(h.sent) - h.exchange.Waited, Load: load}, t.answered)
+		d.opened.HopEnded(now, t.id, h.number, logic.HopResult{Outcome: end, Latency: time.Since(h.sent) - h.exchange.Waited, Load: load}, t.answered)
 		d.forget(t)
 	})
 }
@@ -144,17 +144,17 @@
 			return
 		}
 		h.streamed, heard = true, t.said.Rest == nil || t.heard
-		end, count := logic.Committed, &d.Book.Committed
+		end, count := logic.HopCommitted, &d.Book.Committed
 		if a.Declined {
-			end, count = logic.Moot, &d.Book.Declined
+			end, count = logic.HopNotSent, &d.Book.Declined
 		}
 		t.out--
 		d.settled(t)
 		count.Add(1)
 		d.Book.Streamed.Add(1)
 		d.Book.Ends[end].Add(1)
-		d.opened.Begun(now, t.id, h.number)
-		d.opened.HopEnded(now, t.id, h.number, logic.Result{End: end, Took: time.Since(h.sent), Load: a.Load}, true)
+		d.opened.ResponseStarted(now, t.id, h.number)
+		d.opened.HopEnded(now, t.id, h.number, logic.HopResult{Outcome: end, Latency: time.Since(h.sent), Load: a.Load}, true)
 	})
 	if !h.streamed {
 		return errNobodyWaits
--- a/internal/routing/route.go
+++ b/internal/routing/route.go
@@ -38,7 +38,7 @@
 	heir      string         // where answers are handed over to the next process
 	connLimit *transport.ConnLimit
 	learnt    struct { // by the process before this one
-		what logic.Learnt
+		what logic.LearnedState
 		at   time.Time // when it said so, zero where it did not
 	}
 
@@ -93,7 +93,7 @@
 	if err == nil {
 		d.named()
 	}
-	d.timer = time.AfterFunc(time.Hour, func() { d.decide(func(now time.Duration) { d.opened.Timer(now) }) })
+	d.timer = time.AfterFunc(time.Hour, func() { d.decide(func(now time.Duration) { d.opened.TimerFired(now) }) })
 	d.timer.Stop()
 	return d, err
 }
@@ -138,7 +138,7 @@
 		d.last++
 		t.id = d.last
 		d.txs[t.id] = t
-		d.opened.Take(now, t.id, d.arrival(t.said, profile, budget))
+		d.opened.TransactionReceived(now, t.id, d.arrival(t.said, profile, budget))
 	})
 	return taken
 }
@@ -162,7 +162,7 @@
 			d.settled(t)
 			d.Book.Left.Add(1)
 			d.Book.Open.Add(-1)
-			d.opened.Left(now, t.id)
+			d.opened.ClientLeft(now, t.id)
 		}
 	})
 	return waited
--- a/internal/routing/run.go
+++ b/internal/routing/run.go
@@ -109,7 +109,7 @@
 		d.opened.Start(d, now, seed, beside)
 	})
 	if known != nil && len(known.Targets) > 0 {
-		d.takeList(d.list.line, logic.Cached, known)
+		d.takeList(d.list.line, logic.ListCached, known)
 	}
 	d.decide(func(time.Duration) {
 		if d.opened.Pushed { // what is pushed counts as told from the first moment
@@ -208,7 +208,7 @@
 		for _, id := range slices.Sorted(maps.Keys(d.txs)) {
 			if t := d.txs[id]; !t.answered {
 				d.Abandon(id)
-				d.opened.Left(now, id)
+				d.opened.ClientLeft(now, id)
 			}
 		}
 	})
--- a/internal/routing/send.go
+++ b/internal/routing/send.go
@@ -27,8 +27,8 @@
 	streamed bool // its answer has begun to go on, and the module knows
 }
 
-// Hop sends the transaction. A host whose address is not known can't be reached.
-func (d *Desk) Hop(id logic.TxID, host logic.HostID, wait time.Duration) {
+// SendHop sends the transaction. A host whose address is not known can't be reached.
+func (d *Desk) SendHop(id logic.TxID, host logic.HostID, wait time.Duration) {
 	t := d.txs[id]
 	h := &hop{t: t, host: host, to: d.list.target(host), number: len(t.hops), sent: time.Now()}
 	t.hops = append(t.hops, h)
@@ -73,7 +73,7 @@
 func (d *Desk) unsent(h *hop) {
 	d.decide(func(now time.Duration) {
 		h.t.out--
-		d.opened.HopEnded(now, h.t.id, h.number, logic.Result{End: logic.Moot, Load: logic.NoLoad}, h.t.answered)
+		d.opened.HopEnded(now, h.t.id, h.number, logic.HopResult{Outcome: logic.HopNotSent, Load: logic.NoLoadReport}, h.t.answered)
 		d.forget(h.t)
 	})
 }
@@ -184,7 +184,7 @@
 			d.decide(func(now time.Duration) {
 				late = t.answered
 				t.heard, t.early, t.taken, t.feeding.sent = true, t.client.Reader.Buffered() > 0, began, began
-				d.opened.Whole(now, t.id, t.feeding.number)
+				d.opened.HopBodySent(now, t.id, t.feeding.number)
 			})
 			switch err := to.Last(t.said.Piece(piece[:n], true), t.wait, stays); {
 			case errors.Is(err, transport.ErrUnwanted):
@@ -264,14 +264,14 @@
 	}
 }
 
-func (d *Desk) Release(host logic.HostID) {
+func (d *Desk) CloseIdleConnections(host logic.HostID) {
 	to := d.list.target(host)
 	d.then(func() { d.pool.Close(to) })
 }
 
 func (d *Desk) Probe(host logic.HostID) {
 	d.Book.Probes.Add(1)
-	load, reported := logic.NoLoad, false
+	load, reported := logic.NoLoadReport, false
 	to := d.list.target(host)
 	d.start(to, &transport.Exchange{
 		Message: func() net.Buffers { return protocol.Call(protocol.LoadTarget, to.Addr) },
@@ -292,11 +292,11 @@
 			if how == transport.Answered && reported {
 				d.Book.Probed.Add(1)
 			} else {
-				load = logic.NoLoad
+				load = logic.NoLoadReport
 			}
 			d.decide(func(now time.Duration) {
 				d.closeGone(to)
-				d.opened.Probed(now, host, load)
+				d.opened.ProbeEnded(now, host, load)
 			})
 		},
 	}, false)
--- a/internal/routing/tell.go
+++ b/internal/routing/tell.go
@@ -20,8 +20,8 @@
 	number map[netip.AddrPort]int
 }
 
-// Tell sends datagrams to one gateway or, with -1, to all others.
-func (d *Desk) Tell(gateway int, held []logic.Held) {
+// SendPeerMessage sends datagrams to one gateway or, with -1, to all others.
+func (d *Desk) SendPeerMessage(gateway int, held []logic.PeerEntry) {
 	if d.tells.socket == nil {
 		return
 	}
@@ -31,7 +31,7 @@
 	} else if !d.tells.all.IsValid() {
 		to = d.tells.others
 	}
-	d.Book.Asks.Add(kinds(held, logic.Asks))
+	d.Book.Asks.Add(kinds(held, logic.EntryPickRequest))
 	socket := d.tells.socket
 	for msg := range d.opened.Messages(held) {
 		must.Hold(len(msg) <= given.MostBytes, "a datagram within its bound")
@@ -43,7 +43,7 @@
 }
 
 // kinds is how many of what is told are of a kind.
-func kinds(held []logic.Held, kind logic.HeldKind) (n int64) {
+func kinds(held []logic.PeerEntry, kind logic.PeerEntryKind) (n int64) {
 	for _, k := range held {
 		if k.Kind == kind {
 			n++
@@ -65,7 +65,7 @@
 func (d *Desk) told(addr netip.AddrPort, msg []byte) {
 	d.mu.Lock()
 	from, known := d.tells.number[addr]
-	var held []logic.Held
+	var held []logic.PeerEntry
 	var err error
 	if known && len(msg) <= given.MostBytes {
 		held, err = d.opened.Held(msg)
@@ -79,6 +79,6 @@
 		return
 	}
 	d.Book.Told.Add(1)
-	d.Book.AsksAnswered.Add(kinds(held, logic.Answer))
-	d.decide(func(now time.Duration) { d.opened.Told(now, from, held) })
+	d.Book.AsksAnswered.Add(kinds(held, logic.EntryPickResponse))
+	d.decide(func(now time.Duration) { d.opened.PeerMessageReceived(now, from, held) })
 }
--- a/internal/routing/watch.go
+++ b/internal/routing/watch.go
@@ -40,8 +40,8 @@
 		drains: map[logic.HostID]int64{}}
 }
 
-// AskList begins a watch, as the module asks.
-func (d *Desk) AskList() {
+// RequestHostList begins a watch, as the module asks.
+func (d *Desk) RequestHostList() {
 	d.list.owed = false
 	d.ask()
 }
@@ -85,12 +85,12 @@
 	case line == d.list.old:
 		list.Targets = slices.DeleteFunc(list.Targets, func(e protocol.Entry) bool {
 			id, known := d.list.ids[e.UID]
-			return !known || !d.list.takes(id) || e.Host(id, d.since).State == logic.Ready
+			return !known || !d.list.takes(id) || e.Host(id, d.since).State == logic.HostReady
 		})
 		return len(list.Targets) > 0
 	case line != d.list.line:
 		return false
-	case older && d.list.has && kind != logic.Cached:
+	case older && d.list.has && kind != logic.ListCached:
 		d.Book.ListsOlder.Add(1)
 		d.list.has = false
 		return false
@@ -98,7 +98,7 @@
 	for i := range list.Targets {
 		e := &list.Targets[i]
 		boot, drains := d.list.drains[d.list.ids[e.UID]]
-		if older && drains && boot == e.BootMS && e.Host(0, d.since).State == logic.Ready {
+		if older && drains && boot == e.BootMS && e.Host(0, d.since).State == logic.HostReady {
 			e.State = protocol.Terminating
 		}
 	}
@@ -139,9 +139,9 @@
 			}
 			continue
 		}
-		kind := logic.Changes
+		kind := logic.ListChanges
 		if list.All {
-			kind = logic.Whole
+			kind = logic.ListComplete
 		}
 		d.takeList(line, kind, list)
 		if (len(list.Targets) == 0 || list.Rev == rev) && time.Since(called) < hurry { // one that does not wait is not called without a pause
@@ -168,7 +168,7 @@
 			}
 			if over && !d.list.owed { // told of each, it would ask once for each: calls that are refused would make ever more
 				d.list.owed = true
-				d.opened.List(now, logic.Lost, nil)
+				d.opened.HostListReceived(now, logic.ListFailed, nil)
 			}
 		}
 		pause = max(d.opened.Grace/gracePart, hurry)
@@ -211,7 +211,7 @@
 			return
 		}
 		if line == d.list.old {
-			kind = logic.Changes
+			kind = logic.ListChanges
 		} else {
 			d.closeOld()
 			d.list.rev, d.list.has = list.Rev, true
@@ -219,7 +219,7 @@
 		var hosts []logic.Host
 		drains := false
 		was := d.list.targets()
-		if kind != logic.Changes {
+		if kind != logic.ListChanges {
 			d.list.addr, d.list.drains = map[logic.HostID]string{}, map[logic.HostID]int64{}
 		}
 		for i := range list.Targets {
@@ -230,10 +230,10 @@
 				continue
 			}
 			host := e.Host(id, d.since)
-			if d.list.addr[id] = e.Endpoint; host.State == logic.Gone {
+			if d.list.addr[id] = e.Endpoint; host.State == logic.HostGone {
 				delete(d.list.addr, id)
 			}
-			if delete(d.list.drains, id); host.State == logic.Draining {
+			if delete(d.list.drains, id); host.State == logic.HostDraining {
 				d.list.drains[id], drains = e.BootMS, true
 			}
 			hosts = append(hosts, host)
@@ -246,8 +246,8 @@
 		}
 		are := d.list.targets()
 		d.then(func() {
-			if kind != logic.Changes || len(list.Targets) > 0 {
-				slog.Info("list", "rev", list.Rev, "whole", kind != logic.Changes, "entries", len(list.Targets))
+			if kind != logic.ListChanges || len(list.Targets) > 0 {
+				slog.Info("list", "rev", list.Rev, "whole", kind != logic.ListChanges, "entries", len(list.Targets))
 			}
 			for to := range was { // in any order: they are closed
 				if !are[to] {
@@ -258,14 +258,14 @@
 				d.nudge()
 			}
 			d.ready.Store(true)
-			if kind == logic.Cached { // it may be old: hosts in it may be long gone
+			if kind == logic.ListCached { // it may be old: hosts in it may be long gone
 				time.AfterFunc(freshWithin, d.has)
 			} else {
 				d.has()
 			}
 		})
-		d.opened.List(now, kind, hosts)
-		if kind != logic.Changes {
+		d.opened.HostListReceived(now, kind, hosts)
+		if kind != logic.ListChanges {
 			d.learn(now)
 		}
 	})
--- a/internal/simwire/sender.go
+++ b/internal/simwire/sender.go
@@ -36,7 +36,7 @@
 
 func (s *sender) end() { s.w.WriteByte('\n') }
 
-func (s *sender) Hop(id logic.TxID, host logic.HostID, wait time.Duration) {
+func (s *sender) SendHop(id logic.TxID, host logic.HostID, wait time.Duration) {
 	s.begin("dispatch")
 	s.int(int64(id))
 	s.int(int64(host))
@@ -70,14 +70,14 @@
 	s.end()
 }
 
-func (s *sender) Release(host logic.HostID) {
+func (s *sender) CloseIdleConnections(host logic.HostID) {
 	s.begin("release")
 	s.int(int64(host))
 	s.end()
 }
 
-// Tell takes as many messages as it needs.
-func (s *sender) Tell(to int, held []logic.Held) {
+// SendPeerMessage takes as many messages as it needs.
+func (s *sender) SendPeerMessage(to int, held []logic.PeerEntry) {
 	for msg := range s.in.Messages(held) {
 		s.begin("announce")
 		s.int(int64(to))
@@ -86,7 +86,7 @@
 	}
 }
 
-func (s *sender) AskList() {
+func (s *sender) RequestHostList() {
 	s.begin("track")
 	s.int(1)
 	s.end()
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -143,7 +143,7 @@
 		h.expire(b.now - staleAge)
 		b.sayAgain(h)
 		b.releaseUnused(h, giveBackAge)
-		if b.from.Probes && !b.isCold(h) && b.draws(h.group) && (b.relaying || b.rare()) {
+		if b.from.ProbesReportLoad && !b.isCold(h) && b.draws(h.group) && (b.relaying || b.rare()) {
 			b.out.Probe(h.ID)
 		}
 	}
@@ -157,30 +157,30 @@
 	b.rate.add(b.taken, rateStep)
 	b.taken, b.came, b.passed = 0, b.came*passKeep, b.passed*passKeep
 	b.settlePaces()
-	b.admit.refill(float64(b.place.Gateways))
+	b.admit.refill(float64(b.place.GatewayCount))
 	b.logShed()
 }
 
 // reach is how many hosts of a group a draw is among: few where connections cost or nothing tells of hosts.
 func (b *Balancer) reach() int {
 	few := max(either(b.blind(), keepLeast, 1), int(math.Ceil(max(b.rate.value, b.taken)/useEach)))
-	return either(b.price.Connections || b.blind(), few, len(b.table.ready))
+	return either(b.price.OpenConnections || b.blind(), few, len(b.table.ready))
 }
 
 // asksPay tells whether a request may wait for another gateway's draw, by what such asks took of late.
-func (b *Balancer) asksPay(t *tx) bool { return b.askTime.value <= askPart*float64(t.prof.Goal) }
+func (b *Balancer) asksPay(t *tx) bool { return b.askTime.value <= askPart*float64(t.prof.ServiceGoal) }
 
 // rare lets by chance do what each of a few gateways may do: many together then do no more than a few would.
-func (b *Balancer) rare() bool { return b.chance.draw()*float64(b.place.Gateways) < fewGateways }
+func (b *Balancer) rare() bool { return b.chance.draw()*float64(b.place.GatewayCount) < fewGateways }
 
 // The host table: the list, drains and the cold budget.
 
-func (b *Balancer) List(now time.Duration, kind ListKind, hosts []Host) {
+func (b *Balancer) HostListReceived(now time.Duration, kind ListKind, hosts []Host) {
 	b.turn(now)
-	if kind == Lost {
+	if kind == ListFailed {
 		b.table.lost++
 		b.out.Log(fmt.Sprintf("list lost, %d times in a row", b.table.lost))
-		b.at(now+b.spread(askAgain<<min(b.table.lost-1, 2)), b.out.AskList)
+		b.at(now+b.spread(askAgain<<min(b.table.lost-1, 2)), b.out.RequestHostList)
 		return
 	}
 	for _, h := range b.table.merge(kind, hosts, b.leaves) { // without a record; what is out still counts
@@ -197,7 +197,7 @@
 // leaves tells whether one that a list calls gone, or leaves out, is. Where only drains bind, lists prove
 // nothing of what runs: a host that was ready stays until own hops open its breaker.
 func (b *Balancer) leaves(h *host) bool {
-	return !b.drains.OnlyDrains || h.State != Ready || h.whole.open
+	return !b.drains.AllowGoneHosts || h.State != HostReady || h.whole.open
 }
 
 // coldRoom keeps an even share of a cold host's budget, and what is over whole hops by a lot for each window:
@@ -206,20 +206,20 @@
 	if !b.isCold(h) {
 		return true
 	}
-	age := max(0, b.now-h.Started-b.cold.StartOff)
-	warm := b.cold.From + (1-b.cold.From)*float64(age)/float64(b.cold.WarmUp)
+	age := max(0, b.now-h.StartedAt-b.cold.StartTimeTolerance)
+	warm := b.cold.InitialCapacityFraction + (1-b.cold.InitialCapacityFraction)*float64(age)/float64(b.cold.WarmUpDuration)
 	pace := either(h.model.pace.n == 0, 1, max(h.model.pace.value, paceLeast)) // of a kind never seen: the usual
 	work := either(b.byZone(), b.mean, b.work[0]).value
 	through := max(1, h.model.places.value) / (work * pace)
-	seen := coldSeen * h.model.rate.value * float64(b.place.Gateways) / float64(time.Second)
+	seen := coldSeen * h.model.rate.value * float64(b.place.GatewayCount) / float64(time.Second)
 	through = either(b.byZone(), max(through, seen), through) // warm ones show what they can do at the least
-	part := either(b.now < b.cold.Beside, 1-coldPart, coldPart) / float64(b.place.Gateways)
-	budget := warm * b.cold.Multiple * through * float64(b.cold.TipAfter)
-	share, sent := part*budget, h.sentSince(b.now-b.cold.TipAfter)
+	part := either(b.now < b.cold.PredecessorActiveUntil, 1-coldPart, coldPart) / float64(b.place.GatewayCount)
+	budget := warm * b.cold.OverloadMultiple * through * float64(b.cold.OverloadDuration)
+	share, sent := part*budget, h.sentSince(b.now-b.cold.OverloadDuration)
 	if !b.byZone() && budget >= coldHeavy { // of so many: as often as it is warm, of what a warm one would get
 		return sent < max(1, int(share)) && (share >= 1 || b.chance.draw() < warm)
 	}
-	lot := chance{b.chance.seed ^ uint32(h.ID), uint32(b.now / b.cold.TipAfter)}
+	lot := chance{b.chance.seed ^ uint32(h.ID), uint32(b.now / b.cold.OverloadDuration)}
 	return (!b.byZone() || b.work[profile].value*coldHeavy <= budget*work) && sent < int(share+lot.draw())
 }
 
@@ -255,10 +255,10 @@
 }
 
 // learn takes what the end of a hop says of its host.
-func (b *Balancer) learn(h *host, load float64, profile int, r Result) {
+func (b *Balancer) learn(h *host, load float64, profile int, r HopResult) {
 	b.heard(h, r.Load)
-	crowd, work, took := h.crowd(load), &b.work[profile], float64(r.Took)
-	late, bad := r.End == TimedOut || r.End == CalledOff, r.End != Committed && r.End != Moot
+	crowd, work, took := h.crowd(load), &b.work[profile], float64(r.Latency)
+	late, bad := r.Outcome == HopTimedOut || r.Outcome == HopCalledOff, r.Outcome != HopCommitted && r.Outcome != HopNotSent
 	slow := took > overdue*min(work.value, b.free[profile])*crowd
 	// In a jam hops time out everywhere: only one far over a usual host's time speaks of a hang.
 	bad = either(late, either(b.probesOnly(), slow, took > overdue*work.value*crowd), bad)
@@ -268,45 +268,45 @@
 		b.feel(h, profile, r, hangs)
 	}
 	switch {
-	case r.End == Committed:
+	case r.Outcome == HopCommitted:
 		b.heardOf[profile], h.paced, h.waiting, h.fresh = b.now, b.now, b.now, true
 		h.lat.add(took, paceStep)
 		if crowd == 1 || h.model.knee() > 0 || !b.guesses(h) {
-			bound := min(overdue*work.value, float64(b.profiles[profile].Goal)) // a part that waits must not bar all
+			bound := min(overdue*work.value, float64(b.profiles[profile].ServiceGoal)) // a part that waits must not bar all
 			alone := took / crowd / h.pace.value
-			alone = either(b.from.Tells && work.n*workStep >= 1, min(alone, bound), alone)
+			alone = either(b.from.PeersShareInFlight && work.n*workStep >= 1, min(alone, bound), alone)
 			work.add(alone, workStep)
 			b.slow[profile].add(alone, slowStep)
 			h.group.jam.add(took/crowd/b.free[profile], jamStep)
 			h.learnPace(took / crowd / work.value)
 		}
 	case late && !apart:
-		h.paced, h.bad = b.now, h.bad || bad || r.End == TimedOut
+		h.paced, h.bad = b.now, h.bad || bad || r.Outcome == HopTimedOut
 		h.lat.add(max(took, h.lat.value), paceStep)
 		// One answer lost, where that is far over the work, must not make its host look ten times as slow.
 		h.learnPace(min(max(took/crowd/work.value, h.pace.value), overdue*h.pace.value))
 	case bad && !apart:
 		h.waiting, h.bad = b.now, true
 	}
-	overload := b.probesOnly() && bad && !apart && (late || r.End == Full)
+	overload := b.probesOnly() && bad && !apart && (late || r.Outcome == HopHostFull)
 	h.model.overloaded = h.model.overloaded || overload
-	if r.End != Committed && !bad { // proves nothing of the host: a trial must be had again
+	if r.Outcome != HopCommitted && !bad { // proves nothing of the host: a trial must be had again
 		h.whole.trying, h.by[profile].trying = false, false
 		return
 	}
 	b.errs.add(errs, workStep)
 	usual, others := 0.0, 0.0
-	link := r.End == NoConnection || r.End == Broken // to a blind one the others may be of one zone
+	link := r.Outcome == HopNoConnection || r.Outcome == HopConnectionBroken // to a blind one the others may be of one zone
 	if bad && !(link && b.blind()) {
 		others = b.table.errsElsewhere(h, b.now-staleAge)
 		usual = b.errs.value + min(usualTimes*others, usualMost)
 	}
 	of := [...]string{"all profiles", b.profiles[profile].Name}
 	for i, c := range h.breakers(profile) {
-		if i == 0 && (r.End == Full || apart) {
+		if i == 0 && (r.Outcome == HopHostFull || apart) {
 			c.trying = false // a full host turns all profiles away: one turned away alone is not its queue
 		} else if c.note(bad || slow && c.open && c.overload, overload, errs,
-			either(apart, 0, shareToOpen+usual), either(r.End == Error, others, 0), b.now, b.chance.draw()) {
+			either(apart, 0, shareToOpen+usual), either(r.Outcome == HopError, others, 0), b.now, b.chance.draw()) {
 			b.out.Log(fmt.Sprintf("host %d, %s: breaker open %t", h.ID, of[i], c.open))
 		}
 	}
@@ -349,7 +349,7 @@
 
 // guesses tells whether a host's slots are a guess: by it a start's transactions had been turned away.
 func (b *Balancer) guesses(h *host) bool {
-	return b.from.Probes && h.model.places.n == 0 && !h.model.overloaded
+	return b.from.ProbesReportLoad && h.model.places.n == 0 && !h.model.overloaded
 }
 
 func (b *Balancer) expect(h *host, profile int) float64 {
@@ -373,15 +373,15 @@
 	if b.byZone() {
 		return b.chooseEven(t), 0
 	}
-	dear := b.price.Crossing * b.revenue.value / t.prof.Revenue // a crossing, against what this one earns
-	near := min(fullFrom+2*dear, admitMost) * float64(t.prof.Goal)
+	dear := b.price.CrossZoneHop * b.revenue.value / t.prof.Revenue // a crossing, against what this one earns
+	near := min(fullFrom+2*dear, admitMost) * float64(t.prof.ServiceGoal)
 	for _, barred := range []bool{false, true} {
 		most, leaves := b.patience(t.profile), b.full(b.load(t.home), kneeFrom, kneeTo)
 		for _, g := range t.home.order {
 			if g != t.home && leaves && b.load(g) > b.load(t.home) {
 				continue
 			}
-			h, e := b.draw(g, t, barred, min(fullFrom*float64(t.prof.Goal), most))
+			h, e := b.draw(g, t, barred, min(fullFrom*float64(t.prof.ServiceGoal), most))
 			if h == nil || g != t.home && e > most || b.load(g) >= 0 && b.fullNow(h) {
 				continue
 			}
@@ -408,7 +408,7 @@
 func (b *Balancer) draw(g *group, t *tx, barred bool, near float64) (pick *host, e float64) {
 	lots := make([]lot, 0, min(b.reach()+t.reRun(), len(g.hosts)))
 	var mean average
-	whole := b.place.Gateways <= fewGateways || b.relaying // all that is out is known
+	whole := b.place.GatewayCount <= fewGateways || b.relaying // all that is out is known
 	for _, h := range g.hosts[:min(b.reach()+t.reRun(), len(g.hosts))] {
 		if !t.fits(h, b.now) || !b.coldRoom(h, t.profile) ||
 			either(barred, h.overloaded(t.profile), b.silent(h)) || b.unsure(h) ||
@@ -454,7 +454,7 @@
 		by := modelStep * (all.value - m.rest.value) / (all.value + heldSpare)
 		m.weight = min(max(m.weight*math.Exp(by), weightStep), weightMost)
 	}
-	coming := max(1, b.rate.value*float64(b.place.Gateways)/max(1, all.n))
+	coming := max(1, b.rate.value*float64(b.place.GatewayCount)/max(1, all.n))
 	for _, g := range b.table.groups {
 		g.room, g.meets = 0, 0
 		for _, h := range g.hosts {
@@ -470,7 +470,7 @@
 
 // size is a host's share of what the largest can do, where the list tells it.
 func (b *Balancer) size(h *host) float64 {
-	return either(b.from.Sizes == Nominal && h.Size > 0, h.Size/b.table.largest, 1)
+	return either(b.from.CapacityHints == NominalCapacity && h.CapacityHint > 0, h.CapacityHint/b.table.largest, 1)
 }
 
 // chooseEven takes the own zone but for the part that leaves it: that goes where there is room.
@@ -575,13 +575,13 @@
 // that earn more for the same work, unless these would be rolled back at a free host: all would be with them.
 func (b *Balancer) patience(profile int) float64 {
 	// A lone one sees its own hops alone, and there are more at a host the more gateways a zone has.
-	alone := 1 + (crowdMost-1)/math.Sqrt(max(1, float64(b.place.Gateways)/float64(len(b.table.groups))))
+	alone := 1 + (crowdMost-1)/math.Sqrt(max(1, float64(b.place.GatewayCount)/float64(len(b.table.groups))))
 	crowd := either(b.lone(), alone, either(b.told(), crowdTold, crowdMost))
 	bears := func(i int) float64 { return min(b.bears(i), crowd*b.free[i]) / b.work[i].value } // times the work
 	most := bears(profile)
-	from := either(b.price.ByWork, yieldByWork, yieldFrom) * b.earns(profile)
+	from := either(b.price.RevenueByWork, yieldByWork, yieldFrom) * b.earns(profile)
 	for i := range b.profiles {
-		if !b.profiles[i].Dropped && b.earns(i) > from && bears(i) > 1 {
+		if !b.profiles[i].Removed && b.earns(i) > from && bears(i) > 1 {
 			most = min(most, yieldPart*bears(i))
 		}
 	}
@@ -591,13 +591,13 @@
 // bears is the time up to which an answer is worth its hop. Where unserved shares count by tenfold steps a
 // rollback is as bad as a late answer: none before the goal.
 func (b *Balancer) bears(i int) float64 {
-	part := either(b.price.Misses, admitTail, either(b.price.Nines > 0, 1, admitMost))
-	return (part + b.profiles[i].LateRevenue/2) * float64(b.profiles[i].Goal)
+	part := either(b.price.MissedGoals, admitTail, either(b.price.AvailabilityNines > 0, 1, admitMost))
+	return (part + b.profiles[i].LateRevenueFraction/2) * float64(b.profiles[i].ServiceGoal)
 }
 
 // earns is what a profile earns for the same work.
 func (b *Balancer) earns(i int) float64 {
-	return b.profiles[i].Revenue / either(b.price.ByWork, 1, b.work[i].value)
+	return b.profiles[i].Revenue / either(b.price.RevenueByWork, 1, b.work[i].value)
 }
 
 // A transaction's path.
@@ -611,11 +611,11 @@
 	switch {
 	case r == nil || t.prof.Effect == Idempotent:
 		return true
-	case t.prof.Effect == NonIdempotent || now-r.at >= t.prof.Window-goalSlack:
+	case t.prof.Effect == NonIdempotent || now-r.at >= t.prof.DedupWindow-goalSlack:
 		return false
 	}
-	return t.prof.Reach == AllHosts || t.prof.Reach == SameZone && h.Zone == r.host.Zone ||
-		t.prof.Reach == SameCell && h.Cell == r.host.Cell
+	return t.prof.DedupScope == DedupAllHosts || t.prof.DedupScope == DedupSameZone && h.Zone == r.host.Zone ||
+		t.prof.DedupScope == DedupSameCell && h.Cell == r.host.Cell
 }
 
 // outlier tells whether a tenant's hops miss their goals where the others' do not: they wait for something of
@@ -628,33 +628,33 @@
 // suspect tells it sooner, by two misses close together. Where gateways tell no one answer counts for much.
 func (b *Balancer) suspect(t *tenant) bool {
 	others, heard := b.admit.missedByOthers(t)
-	return !b.from.Tells && heard >= rowToOpen && t.missed.value > max(shareToOpen, usualTimes*others)
+	return !b.from.PeersShareInFlight && heard >= rowToOpen && t.missed.value > max(shareToOpen, usualTimes*others)
 }
 
-func (b *Balancer) Take(now time.Duration, id TxID, a Arrival) {
+func (b *Balancer) TransactionReceived(now time.Duration, id TxID, a Arrival) {
 	b.turn(now)
-	p := &b.profiles[a.Profile]
-	t := &tx{id: id, profile: a.Profile, prof: p, key: a.Key, home: b.table.own(),
-		stop: now + a.Budget + b.hops.BudgetOff, most: b.hops.Most}
+	p := &b.profiles[a.ProfileIndex]
+	t := &tx{id: id, profile: a.ProfileIndex, prof: p, key: a.AffinityKey, home: b.table.own(),
+		stop: now + a.Budget + b.hops.BudgetTolerance, most: b.hops.MaxHops}
 	// Stopped at its goal, an idempotent one only comes again: a late answer at least ends its client's tries.
-	if p.LateRevenue == 0 && p.Effect != Idempotent {
-		t.stop = min(t.stop, now+p.Goal-goalSlack)
+	if p.LateRevenueFraction == 0 && p.Effect != Idempotent {
+		t.stop = min(t.stop, now+p.ServiceGoal-goalSlack)
 	}
 	b.taken, b.came = b.taken+1, b.came+1
-	b.mean.add(b.work[a.Profile].value, workStep)
-	b.retries[a.Profile].took(now, b.retryBudget().Span)
+	b.mean.add(b.work[a.ProfileIndex].value, workStep)
+	b.retries[a.ProfileIndex].took(now, b.retryBudget().Window)
 	b.revenue.add(p.Revenue, workStep)
 	b.txs[id] = t
-	if b.told() && b.from.MayProbe {
+	if b.told() && b.from.ExtraProbesAllowed {
 		b.freshen()
 	}
-	if a.Tenant >= 0 {
-		t.tenant, t.over = &b.admit.tenants[a.Tenant], b.admit.over(a.Tenant)
+	if a.TenantIndex >= 0 {
+		t.tenant, t.over = &b.admit.tenants[a.TenantIndex], b.admit.over(a.TenantIndex)
 		t.outlier = b.admit.outlier(t.tenant)
 	}
-	t.weighs = either(a.Coming || t.outlier, 0, 1)
-	if b.hops.Room > 0 {
-		b.at(now+p.Goal, func() { b.overstays(t) })
+	t.weighs = either(a.BodyPending || t.outlier, 0, 1)
+	if b.hops.MaxBufferedResponses > 0 {
+		b.at(now+p.ServiceGoal, func() { b.overstays(t) })
 	}
 	either(b.draws(t.home), b.start, b.ask)(t)
 }
@@ -669,7 +669,7 @@
 	}
 	most := b.patience(t.profile)
 	h, e := b.choose(t)
-	most = either(b.place.Gateways == 1 && h != nil && h.out() == 0, max(most, b.bears(t.profile)), most) // idle
+	most = either(b.place.GatewayCount == 1 && h != nil && h.out() == 0, max(most, b.bears(t.profile)), most) // idle
 	over := t.over && h != nil && (b.now-h.busyAt >= staleAge || h.busy >= busyCalm)
 	most = either(over, min(most, b.free[t.profile]), most) // a free slot at a usual host
 	if h != nil && h.model.knee() > 0 {
@@ -702,7 +702,9 @@
 }
 
 // jamOfOne is the most that one answer counts for: many long ones are a jam, the more so where nines count.
-func (b *Balancer) jamOfOne() float64 { return either(b.price.Nines > 0, jamAlways, feltFull) }
+func (b *Balancer) jamOfOne() float64 {
+	return either(b.price.AvailabilityNines > 0, jamAlways, feltFull)
+}
 
 // pressed is the part of a zone's transactions that is rolled back. It adds up over time, as the list is
 // late: by what is too much now alone zones were closed and flooded by turns.
@@ -717,7 +719,7 @@
 func (b *Balancer) lets(t *tx, g *group) time.Duration {
 	least := either(t.prof.Effect == Idempotent, stopAgain, stopOnce)
 	jam := min(max(0, (b.jam(g, t.profile)-stopFrom)/(stopTo-stopFrom)), 1)
-	return time.Duration((stopGoal + (least-stopGoal)*jam) * float64(t.prof.Goal))
+	return time.Duration((stopGoal + (least-stopGoal)*jam) * float64(t.prof.ServiceGoal))
 }
 
 func (b *Balancer) start(t *tx) {
@@ -749,7 +751,7 @@
 			b.finish(t)
 		}
 	}})
-	b.out.Hop(t.id, h.ID, wait)
+	b.out.SendHop(t.id, h.ID, wait)
 	if b.blind() && b.hops.CallOff {
 		b.callOffIn(b.lets(t, h.group), t, len(t.hops)-1)
 	}
@@ -757,7 +759,7 @@
 
 // reads tells whether an answer is late though its host answers others far sooner: its client reads slowly.
 func (b *Balancer) reads(t *tx, k *hop) bool {
-	return b.hops.Room > 0 && b.now-k.at >= t.prof.Goal && k.host.lat.value < float64(t.prof.Goal)/readsPart
+	return b.hops.MaxBufferedResponses > 0 && b.now-k.at >= t.prof.ServiceGoal && k.host.lat.value < float64(t.prof.ServiceGoal)/readsPart
 }
 
 // overstays ends what its client reads slowly where such ones hold much of the room for answers: all others
@@ -767,7 +769,7 @@
 		return
 	}
 	t.late = true
-	if b.late++; roomPart*b.late > b.hops.Room {
+	if b.late++; roomPart*b.late > b.hops.MaxBufferedResponses {
 		b.finish(t)
 	}
 }
@@ -781,7 +783,7 @@
 // doubt is how long a hop may wait, and how long its connection stood unused, where it may have been dropped.
 func (b *Balancer) doubt(t *tx, h *host) (wait, idle time.Duration) {
 	wait, idle = t.stop-b.now, b.now-h.used
-	if !b.price.Connections || h.used == 0 || idle < doubtFrom || h.own > 1 {
+	if !b.price.OpenConnections || h.used == 0 || idle < doubtFrom || h.own > 1 {
 		return wait, 0
 	}
 	least := min(wait, time.Duration(doubtTimes*b.expect(h, t.profile)))
@@ -798,70 +800,70 @@
 		b.probesOnly() && h.closed(t.profile) && e > b.patience(t.profile) {
 		return false
 	}
-	b.retries[t.profile].retried(b.now, b.retryBudget().Span)
+	b.retries[t.profile].retried(b.now, b.retryBudget().Window)
 	b.send(t, h)
 	return true
 }
 
 // retryBudget is the rule where one is stated; else, where nothing tells of jams, what keeps them small.
 func (b *Balancer) retryBudget() RetryBudget {
-	stated := b.hops.Retries.Span > 0 || !b.blind()
-	return either(stated, b.hops.Retries, RetryBudget{retryFree, retryShare, retrySpan})
+	stated := b.hops.RetryBudget.Window > 0 || !b.blind()
+	return either(stated, b.hops.RetryBudget, RetryBudget{retryFree, retryShare, retrySpan})
 }
 
 // affords keeps the retry budget in any window; of each profile's part, by revenue, some is kept from others.
 func (b *Balancer) affords(profile int) bool {
 	rule, revenue, taken := b.retryBudget(), 0.0, 0.0
 	for i := range b.retries {
-		n := b.retries[i].taken.least(b.now, rule.Span)
+		n := b.retries[i].taken.least(b.now, rule.Window)
 		taken, revenue = taken+n, revenue+n*b.profiles[i].Revenue
 	}
-	left := rule.Free + rule.Share*taken
+	left := rule.BaseRetries + rule.RetriesPerTransaction*taken
 	kept := retryKept * left / max(revenue, 1)
 	for i := range b.retries {
-		r, used := &b.retries[i], b.retries[i].hops.most(b.now, rule.Span)
-		left -= either(i == profile, used, max(used, kept*r.taken.least(b.now, rule.Span)*b.profiles[i].Revenue))
+		r, used := &b.retries[i], b.retries[i].hops.most(b.now, rule.Window)
+		left -= either(i == profile, used, max(used, kept*r.taken.least(b.now, rule.Window)*b.profiles[i].Revenue))
 	}
-	return left >= 1 || rule.Span == 0
+	return left >= 1 || rule.Window == 0
 }
 
 // finish answers at once; to be rolled back, nothing may be left.
 func (b *Balancer) finish(t *tx) {
-	if t.prof.Effect == Idempotent || t.ran() == nil || t.prof.Effect == Journalled && t.prof.Reach == AllHosts {
-		b.out.RollBack(t.id, min(time.Duration(b.work[t.profile].value), b.hops.BackMost))
+	if t.prof.Effect == Idempotent || t.ran() == nil || t.prof.Effect == Journalled && t.prof.DedupScope == DedupAllHosts {
+		b.out.RollBack(t.id, min(time.Duration(b.work[t.profile].value), b.hops.MaxRetryAfter))
 	} else {
 		b.out.Abandon(t.id)
 	}
 	b.settle(t)
 }
 
-func (b *Balancer) HopEnded(now time.Duration, id TxID, i int, r Result, over bool) {
+func (b *Balancer) HopEnded(now time.Duration, id TxID, i int, r HopResult, over bool) {
 	b.turn(now)
 	t, k := b.hopOut(id, i)
 	if k == nil {
 		return
 	}
-	k.over, k.end, t.out, k.host.own = true, r.End, t.out-1, k.host.own-t.weighs
+	k.over, k.end, t.out, k.host.own = true, r.Outcome, t.out-1, k.host.own-t.weighs
 	switch {
-	case r.End == Committed:
+	case r.Outcome == HopCommitted:
 		k.host.used, k.host.proving = now, false
 		k.host.model.done += either(b.isCold(k.host), 0.0, 1)
-	case k.idle > 0 && r.End == TimedOut && k.at >= b.still:
+	case k.idle > 0 && r.Outcome == HopTimedOut && k.at >= b.still:
 		b.shaken = now
-		b.out.Release(k.host.ID)
-	case r.End == NoConnection && b.price.Connections:
+		b.out.CloseIdleConnections(k.host.ID)
+	case r.Outcome == HopNoConnection && b.price.OpenConnections:
 		b.shaken, k.host.unmade = now, now+time.Duration((0.75+b.chance.draw()/2)*float64(coolMost))
 	}
 	b.close(k.host.Host)
 	b.unsaid(k.host)
-	off := r.End == CalledOff // by a blind gateway itself, where it is late
-	late := r.End == TimedOut || (r.End == Committed || off && b.blind()) && now-k.at > t.prof.Goal
-	if t.tenant != nil && (late || r.End == Committed) {
+	off := r.Outcome == HopCalledOff // by a blind gateway itself, where it is late
+	late := r.Outcome == HopTimedOut || (r.Outcome == HopCommitted || off && b.blind()) && now-k.at > t.prof.ServiceGoal
+	if t.tenant != nil && (late || r.Outcome == HopCommitted) {
 		t.tenant.missed.add(either(late, 1.0, 0), shareStep)
 	}
-	apart := t.outlier && (late || r.End == Committed) || (late || off) && b.suspect(t.tenant)
+	apart := t.outlier && (late || r.Outcome == HopCommitted) || (late || off) && b.suspect(t.tenant)
 	if !apart && !b.draws(k.host.group) && k.at >= b.still {
-		k.host.ends = append(k.host.ends, Held{Ended, k.host.ID, int(k.load), t.profile, r.End, r.Took})
+		k.host.ends = append(k.host.ends, PeerEntry{EntryHopEnded, k.host.ID, int(k.load), t.profile, r.Outcome, r.Latency})
 	}
 	if k.at >= b.still && !apart && !b.reads(t, k) { // else it speaks of this gateway, a client, a tenant
 		b.learn(k.host, k.load, t.profile, r)
--- a/logic/state.go
+++ b/logic/state.go
@@ -14,13 +14,13 @@
 // Balancer decides for one gateway. Its parts each own their state: the host table, the health of each host,
 // admission, and each transaction's path.
 type Balancer struct {
-	out      Doer
-	place    Place
+	out      Executor
+	place    Topology
 	profiles []Profile
 	hops     HopRule
-	from     Sources
-	price    Price
-	cold     ColdRule
+	from     InformationSources
+	price    CostModel
+	cold     ColdHostRule
 	drains   DrainRule
 	table    table
 	admit    admission
@@ -65,8 +65,8 @@
 }
 
 // New makes the decisions of one gateway; seed is the root of all its chance.
-func New(out Doer, now time.Duration, seed uint64, place Place, profiles []Profile, tenants []Tenant,
-	cold ColdRule, drains DrainRule, hops HopRule, from Sources, price Price) *Balancer {
+func New(out Executor, now time.Duration, seed uint64, place Topology, profiles []Profile, tenants []Tenant,
+	cold ColdHostRule, drains DrainRule, hops HopRule, from InformationSources, price CostModel) *Balancer {
 	b := &Balancer{out: out, now: now, place: place, profiles: profiles, hops: hops, from: from, price: price,
 		cold: cold, drains: drains,
 		chance: chance{seed: crc32.ChecksumIEEE(binary.LittleEndian.AppendUint64(nil, seed))}, txs: map[TxID]*tx{},
@@ -75,31 +75,31 @@
 		heardOf: make([]time.Duration, len(profiles)),
 		errs:    average{n: 1 / workStep}, // none at first
 		table:   table{byID: map[HostID]*host{}, models: map[string]*model{}}}
-	if price.Connections || b.blind() { // those that it keeps to are its own: all gateways' alike would be crowded
-		b.table.ranks = crc32.ChecksumIEEE(binary.LittleEndian.AppendUint32(nil, uint32(place.Me))) | 1
+	if price.OpenConnections || b.blind() { // those that it keeps to are its own: all gateways' alike would be crowded
+		b.table.ranks = crc32.ChecksumIEEE(binary.LittleEndian.AppendUint32(nil, uint32(place.GatewayIndex))) | 1
 	}
 	b.table.addGroups(place)
 	for _, t := range tenants {
-		b.admit.tenants = append(b.admit.tenants, tenant{name: t.Name, quota: t.Quota})
+		b.admit.tenants = append(b.admit.tenants, tenant{name: t.Name, quota: t.QuotaPerSecond})
 	}
 	for i, p := range profiles {
-		b.work[i].value = firstGuess * float64(p.Goal)
+		b.work[i].value = firstGuess * float64(p.ServiceGoal)
 		b.free[i] = b.work[i].value
 	}
 	b.at(now+time.Duration(b.chance.draw()*float64(time.Second)), b.periodic)
-	if from.AskWithin > 0 {
-		b.at(now+b.spread(askAgain), out.AskList)
+	if from.MaxListPollInterval > 0 {
+		b.at(now+b.spread(askAgain), out.RequestHostList)
 	}
 	return b
 }
 
-// Retune takes other rules. What is open holds the profile and the number of hops with which it was taken; a profile that is new
+// Reconfigure takes other rules. What is open holds the profile and the number of hops with which it was taken; a profile that is new
 // begins with what was learnt of the last one of its name.
-func (b *Balancer) Retune(now time.Duration, profiles []Profile, tenants []Tenant, cold ColdRule, drains DrainRule, hops HopRule,
-	from Sources, price Price) {
+func (b *Balancer) Reconfigure(now time.Duration, profiles []Profile, tenants []Tenant, cold ColdHostRule, drains DrainRule, hops HopRule,
+	from InformationSources, price CostModel) {
 	b.turn(now)
 	for i := len(b.profiles); i < len(profiles); i++ {
-		work := average{value: firstGuess * float64(profiles[i].Goal)}
+		work := average{value: firstGuess * float64(profiles[i].ServiceGoal)}
 		slow, free, like := average{}, work.value, -1
 		for k := range b.profiles {
 			if b.profiles[k].Name == profiles[i].Name {
@@ -117,7 +117,7 @@
 		}
 	}
 	for i := range b.retries {
-		if hops.Retries.Span != b.hops.Retries.Span { // what was taken before earns nothing; hops made still count
+		if hops.RetryBudget.Window != b.hops.RetryBudget.Window { // what was taken before earns nothing; hops made still count
 			b.retries[i].taken = window{}
 		}
 	}
@@ -128,26 +128,26 @@
 		if i := slices.IndexFunc(was, func(k tenant) bool { return k.name == t.Name }); i >= 0 {
 			kept = was[i]
 		}
-		kept.quota = t.Quota
+		kept.quota = t.QuotaPerSecond
 		b.admit.tenants = append(b.admit.tenants, kept)
 	}
-	cold.Beside = b.cold.Beside
+	cold.PredecessorActiveUntil = b.cold.PredecessorActiveUntil
 	b.profiles, b.cold, b.drains, b.hops, b.from, b.price = profiles, cold, drains, hops, from, price
 }
 
-func (b *Balancer) Learnt(now time.Duration) Learnt {
-	l := Learnt{Errs: b.errs.mean()}
+func (b *Balancer) ExportLearned(now time.Duration) LearnedState {
+	l := LearnedState{Errs: b.errs.mean()}
 	for i, p := range b.profiles {
-		if !p.Dropped && b.work[i].n > 0 {
-			l.Profiles = append(l.Profiles, LearntProfile{Name: p.Name, Work: b.work[i].mean(), Slow: b.slow[i].mean(), Free: b.free[i]})
+		if !p.Removed && b.work[i].n > 0 {
+			l.Profiles = append(l.Profiles, LearnedProfile{Name: p.Name, Work: b.work[i].mean(), Slow: b.slow[i].mean(), Free: b.free[i]})
 		}
 	}
 	for _, kind := range slices.Sorted(maps.Keys(b.table.models)) {
 		m := b.table.models[kind]
-		l.Kinds = append(l.Kinds, LearntKind{kind, m.places.mean(), m.pace.mean(), m.usual.mean(), m.held.mean(), m.busy.mean()})
+		l.Kinds = append(l.Kinds, LearnedHostKind{kind, m.places.mean(), m.pace.mean(), m.usual.mean(), m.held.mean(), m.busy.mean()})
 	}
 	for _, h := range b.table.ready {
-		k := LearntHost{ID: h.ID, Up: either(h.Started == 0, -1, now-h.Started), Weight: h.weight, Pace: h.pace.mean(), Latency: h.lat.mean(),
+		k := LearnedHost{ID: h.ID, Up: either(h.StartedAt == 0, -1, now-h.StartedAt), Weight: h.weight, Pace: h.pace.mean(), Latency: h.lat.mean(),
 			Cool: h.whole.cool, Share: h.whole.share}
 		if h.whole.open {
 			k.Open = max(1, h.whole.until-now)
@@ -157,12 +157,12 @@
 	return l
 }
 
-// Learn trusts what was learnt of profiles and kinds for as long as it takes; what was learnt of hosts is old after some seconds. What
+// ImportLearned trusts what was learnt of profiles and kinds for as long as it takes; what was learnt of hosts is old after some seconds. What
 // this process has learnt by itself stays.
-func (b *Balancer) Learn(now time.Duration, l Learnt, age time.Duration) {
+func (b *Balancer) ImportLearned(now time.Duration, l LearnedState, age time.Duration) {
 	b.turn(now)
 	for _, p := range l.Profiles {
-		i := slices.IndexFunc(b.profiles, func(k Profile) bool { return k.Name == p.Name && !k.Dropped })
+		i := slices.IndexFunc(b.profiles, func(k Profile) bool { return k.Name == p.Name && !k.Removed })
 		if i >= 0 && b.work[i].n == 0 && p.Work.Value > 0 && p.Free > 0 {
 			b.work[i], b.slow[i], b.free[i], b.was[i] = p.Work.average(), p.Slow.average(), p.Free, p.Work.N
 		}
@@ -178,7 +178,7 @@
 	b.errs = l.Errs.average()
 	for _, k := range l.Hosts {
 		h := b.table.readyHost(k.ID)
-		if h == nil || h.lat.n > 0 || k.Up >= 0 && (now-h.Started-k.Up-age).Abs() > startSlack || (k.Up < 0) != (h.Started == 0) {
+		if h == nil || h.lat.n > 0 || k.Up >= 0 && (now-h.StartedAt-k.Up-age).Abs() > startSlack || (k.Up < 0) != (h.StartedAt == 0) {
 			continue
 		}
 		h.weight, h.pace, h.lat, h.paced = k.Weight, k.Pace.average(), k.Latency.average(), now
@@ -191,7 +191,7 @@
 
 // unsaid has a host told of soon.
 func (b *Balancer) unsaid(h *host) {
-	if b.from.Tells && h != nil && !h.unsaid {
+	if b.from.PeersShareInFlight && h != nil && !h.unsaid {
 		h.unsaid = true
 		if b.untold = append(b.untold, h); len(b.untold) == 1 {
 			b.at(b.now+tick, b.tell)
@@ -209,9 +209,9 @@
 
 // releaseUnused closes the connections to a host that were not used for the given time, where open connections have a price.
 func (b *Balancer) releaseUnused(h *host, unused time.Duration) {
-	if b.price.Connections && h.used > 0 && h.own == 0 && b.now-h.used > unused {
+	if b.price.OpenConnections && h.used > 0 && h.own == 0 && b.now-h.used > unused {
 		h.used = 0
-		b.out.Release(h.ID)
+		b.out.CloseIdleConnections(h.ID)
 	}
 }
 
@@ -235,8 +235,8 @@
 // tell tells all that is new.
 func (b *Balancer) tell() {
 	for _, g := range b.table.groups {
-		if held := news(b.untold, g); len(held) > 0 && b.drawer(g) != b.place.Me {
-			b.out.Tell(b.drawer(g), held)
+		if held := news(b.untold, g); len(held) > 0 && b.drawer(g) != b.place.GatewayIndex {
+			b.out.SendPeerMessage(b.drawer(g), held)
 		}
 	}
 	b.untold = b.untold[:0]
@@ -245,16 +245,16 @@
 // relay tells those that draw for other zones how the hosts of this one stand.
 func (b *Balancer) relay() {
 	b.at(b.now+relayTick, b.relay)
-	var sums []Held
+	var sums []PeerEntry
 	for _, h := range b.table.ready {
 		if b.draws(h.group) && !h.whole.open && !b.silent(h) {
 			took := time.Duration(h.slowness() * b.work[0].value)
-			sums = append(sums, Held{Kind: Sum, Host: h.ID, Hops: h.own + h.others, Took: took})
+			sums = append(sums, PeerEntry{Kind: EntryAggregate, Host: h.ID, InFlight: h.own + h.others, Latency: took})
 		}
 	}
 	for _, g := range b.table.groups {
 		if !b.draws(g) {
-			b.out.Tell(b.drawer(g), sums)
+			b.out.SendPeerMessage(b.drawer(g), sums)
 			g.missed(1, int(staleAge/relayTick))
 		}
 	}
@@ -265,13 +265,15 @@
 
 // drawer draws for a zone; it is -1 where each gateway draws for itself.
 func (b *Balancer) drawer(g *group) int {
-	if !b.from.Tells || b.place.Gateways <= fewGateways {
+	if !b.from.PeersShareInFlight || b.place.GatewayCount <= fewGateways {
 		return -1
 	}
-	return (g.index + g.skip*len(b.table.groups)) % b.place.Gateways
+	return (g.index + g.skip*len(b.table.groups)) % b.place.GatewayCount
 }
 
-func (b *Balancer) draws(g *group) bool { return b.drawer(g) < 0 || b.drawer(g) == b.place.Me }
+func (b *Balancer) draws(g *group) bool {
+	return b.drawer(g) < 0 || b.drawer(g) == b.place.GatewayIndex
+}
 
 // ask asks for a host. A request waits for the answer only where such answers come soon enough to be worth it; else its gateway picks at
 // once from what it knows, and asks once a second without waiting, to learn whether that has changed. The same where several that draw were
@@ -285,7 +287,7 @@
 	b.askedAt = b.now
 	asking := &asking{t, b.now, waits}
 	b.asking = append(b.asking, asking)
-	b.out.Tell(b.drawer(t.home), []Held{{Kind: Asks, Profile: t.profile, Hops: t.home.index}})
+	b.out.SendPeerMessage(b.drawer(t.home), []PeerEntry{{Kind: EntryPickRequest, Profile: t.profile, InFlight: t.home.index}})
 	b.at(b.now+min(askWait, (t.stop-b.now)/2), func() { b.unanswered(asking) })
 	if !waits {
 		b.start(t)
@@ -314,7 +316,7 @@
 	}
 }
 
-func (b *Balancer) answered(from int, k Held, h *host) {
+func (b *Balancer) answered(from int, k PeerEntry, h *host) {
 	b.table.own().misses, b.mute = 0, 0
 	b.unsaid(h) // or a host drawn too late, or not taken, would count as out there
 	a := b.asked(k.Profile)
@@ -329,7 +331,7 @@
 		b.finish(t)
 	case h != nil && t.fits(h, b.now) && b.coldRoom(h, t.profile):
 		if !b.draws(h.group) { // else it knows better
-			h.hold(from, max(0, k.Hops-h.own), b.now)
+			h.hold(from, max(0, k.InFlight-h.own), b.now)
 		}
 		b.send(t, h)
 	default:
@@ -337,39 +339,39 @@
 	}
 }
 
-func (b *Balancer) Told(now time.Duration, from int, held []Held) {
+func (b *Balancer) PeerMessageReceived(now time.Duration, from int, held []PeerEntry) {
 	b.turn(now)
 	for _, k := range held {
 		switch h := b.table.readyHost(k.Host); {
-		case k.Kind == Answer:
+		case k.Kind == EntryPickResponse:
 			b.answered(from, k, h)
-		case k.Kind == Asks:
+		case k.Kind == EntryPickRequest:
 			b.drawFor(from, k)
 		case h == nil:
-		case k.Kind == Ended:
-			b.learn(h, float64(max(1, k.Hops)), k.Profile, Result{k.End, k.Took, NoLoad})
+		case k.Kind == EntryHopEnded:
+			b.learn(h, float64(max(1, k.InFlight)), k.Profile, HopResult{k.Outcome, k.Latency, NoLoadReport})
 		default:
-			if k.Kind == Sum && k.Took > 0 { // no time would make it look infinitely fast
-				h.pace.value, h.group.misses = float64(k.Took)/b.work[k.Profile].value, 0
+			if k.Kind == EntryAggregate && k.Latency > 0 { // no time would make it look infinitely fast
+				h.pace.value, h.group.misses = float64(k.Latency)/b.work[k.Profile].value, 0
 			}
-			h.hold(from, k.Hops, now)
+			h.hold(from, k.InFlight, now)
 		}
 	}
 }
 
 // drawFor counts the hop as out until more is told.
-func (b *Balancer) drawFor(from int, k Held) {
-	t := &tx{profile: k.Profile, prof: &b.profiles[k.Profile], home: b.table.group(k.Hops)}
-	for i := 0; i < b.place.Gateways && !b.draws(t.home); i++ {
+func (b *Balancer) drawFor(from int, k PeerEntry) {
+	t := &tx{profile: k.Profile, prof: &b.profiles[k.Profile], home: b.table.group(k.InFlight)}
+	for i := 0; i < b.place.GatewayCount && !b.draws(t.home); i++ {
 		t.home.skip++ // asked, as those before it are silent
 	}
-	answer := Held{Kind: Answer, Profile: k.Profile}
+	answer := PeerEntry{Kind: EntryPickResponse, Profile: k.Profile}
 	if h := b.admitted(t); h != nil {
-		answer.Host, answer.Hops = h.ID, h.own+h.others
+		answer.Host, answer.InFlight = h.ID, h.own+h.others
 		by := either(b.draws(h.group), from, b.drawer(h.group))
 		h.hold(by, h.heldBy[by].hops+1, b.now)
 	}
-	b.out.Tell(from, []Held{answer})
+	b.out.SendPeerMessage(from, []PeerEntry{answer})
 	if !b.relaying {
 		b.relaying = true
 		b.relay()
@@ -388,17 +390,19 @@
 }
 
 // alone tells whether this is one of many gateways that learn of each other only by what hosts report.
-func (b *Balancer) alone() bool { return !b.from.Tells && b.place.Gateways > fewGateways }
+func (b *Balancer) alone() bool {
+	return !b.from.PeersShareInFlight && b.place.GatewayCount > fewGateways
+}
 
 // told tells whether it learns by reports what others have out at each host.
-func (b *Balancer) told() bool { return b.from.Held && !b.from.Tells }
+func (b *Balancer) told() bool { return b.from.ResponsesReportInFlight && !b.from.PeersShareInFlight }
 
 // sized tells whether it learns by the list what hosts hold, and from nobody else.
-func (b *Balancer) sized() bool { return b.from.Sizes == LiveSizes && b.alone() }
+func (b *Balancer) sized() bool { return b.from.CapacityHints == LiveCapacity && b.alone() }
 
 // blind tells whether this is one of many gateways that learn of hosts by the ends of their own hops alone.
 func (b *Balancer) blind() bool {
-	return b.alone() && !b.from.Reports && !b.from.Probes && b.from.Sizes != LiveSizes
+	return b.alone() && !b.from.ResponsesReportLoad && !b.from.ProbesReportLoad && b.from.CapacityHints != LiveCapacity
 }
 
 // byZone tells whether it judges zones, as it knows too little of any one host in time.
@@ -406,32 +410,32 @@
 
 // lone tells whether this is one of few that learn of hosts by the ends of their own hops, and by a probe now and then.
 func (b *Balancer) lone() bool {
-	return b.place.Gateways <= fewGateways && !b.from.Tells && !b.from.Reports
+	return b.place.GatewayCount <= fewGateways && !b.from.PeersShareInFlight && !b.from.ResponsesReportLoad
 }
 
 // probesOnly tells whether it learns of each host by the ends of its own hops and by probes now and then, and from nobody else.
 func (b *Balancer) probesOnly() bool {
-	return b.from.Probes && !b.from.Tells && !b.from.Reports && !b.byZone()
+	return b.from.ProbesReportLoad && !b.from.PeersShareInFlight && !b.from.ResponsesReportLoad && !b.byZone()
 }
 
 // feel takes in what a hop took, of what it takes at a free host. What a profile feels those that earn less feel alike; of those that
 // earn more it says less, as hosts may see to them first.
-func (b *Balancer) feel(h *host, profile int, r Result, hangs bool) {
-	times := float64(r.Took) / b.usually(profile)
-	switch r.End {
-	case Committed:
-	case TimedOut, CalledOff:
+func (b *Balancer) feel(h *host, profile int, r HopResult, hangs bool) {
+	times := float64(r.Latency) / b.usually(profile)
+	switch r.Outcome {
+	case HopCommitted:
+	case HopTimedOut, HopCalledOff:
 		if b.sized() {
 			return
 		}
-	case Full, NoConnection:
+	case HopHostFull, HopNoConnection:
 		times = feltFull
 	default:
 		return
 	}
 	h.felt = b.feltAt(h)
 	h.felt, h.feltSince = h.felt+feltStep*(times-h.felt), b.now
-	if hangs || r.End == NoConnection { // the one is that host's alone, the other says nothing of hops that have a connection
+	if hangs || r.Outcome == HopNoConnection { // the one is that host's alone, the other says nothing of hops that have a connection
 		return
 	}
 	g, most := h.group, b.jamOfOne()
@@ -452,7 +456,7 @@
 
 // usually is the time that jams are reckoned by: the first guess, a part of the goal, where a profile takes less.
 func (b *Balancer) usually(profile int) float64 {
-	return max(b.free[profile], firstGuess*float64(b.profiles[profile].Goal))
+	return max(b.free[profile], firstGuess*float64(b.profiles[profile].ServiceGoal))
 }
 
 // feltAt is what hops took at a host of late: one that answers nothing more is forgotten.
@@ -505,15 +509,15 @@
 }
 
 // heard takes a report; to one of many it speaks for the zone.
-func (b *Balancer) heard(h *host, l Load) {
-	calm := h.busyAt > 0 && b.now-h.busyAt < staleAge && math.Abs(l.Busy-h.busy) < kneeCalm
+func (b *Balancer) heard(h *host, l LoadReport) {
+	calm := h.busyAt > 0 && b.now-h.busyAt < staleAge && math.Abs(l.Utilization-h.busy) < kneeCalm
 	h.report(l, b.now)
-	if b.told() && l.Held >= 0 {
+	if b.told() && l.InFlight >= 0 {
 		h.tells(l, calm, b.now)
 		h.group.rest = average{h.rest, 1}
-	} else if b.alone() && l.Waiting >= 0 {
-		h.group.queue.add(l.Waiting, paceStep)
-		h.work, h.workAt = l.Waiting+max(0, l.Rate*l.Took/1000), b.now
+	} else if b.alone() && l.Queued >= 0 {
+		h.group.queue.add(l.Queued, paceStep)
+		h.work, h.workAt = l.Queued+max(0, l.RequestsPerSecond*l.LatencyMs/1000), b.now
 	}
 }
 
@@ -533,9 +537,9 @@
 	return t, &t.hops[i]
 }
 
-// Whole counts the hop as out. While the bodies of slow clients came, their hosts looked crowded, or silent, and others were rolled
+// HopBodySent counts the hop as out. While the bodies of slow clients came, their hosts looked crowded, or silent, and others were rolled
 // back for it.
-func (b *Balancer) Whole(now time.Duration, id TxID, i int) {
+func (b *Balancer) HopBodySent(now time.Duration, id TxID, i int) {
 	b.turn(now)
 	t, k := b.hopOut(id, i)
 	if k == nil || t.weighs > 0 {
@@ -549,24 +553,24 @@
 	b.unsaid(k.host)
 }
 
-func (b *Balancer) Begun(now time.Duration, id TxID, _ int) {
+func (b *Balancer) ResponseStarted(now time.Duration, id TxID, _ int) {
 	b.turn(now)
 	if t := b.txs[id]; t != nil {
 		t.done = true
 	}
 }
 
-func (b *Balancer) Left(now time.Duration, id TxID) {
+func (b *Balancer) ClientLeft(now time.Duration, id TxID) {
 	b.turn(now)
 	if t := b.txs[id]; t != nil {
 		b.settle(t)
 	}
 }
 
-// Avoided counts hosts that drain, and those whose breaker for all profiles is open.
-func (b *Balancer) Avoided() (n int) {
+// AvoidedHosts counts hosts that drain, and those whose breaker for all profiles is open.
+func (b *Balancer) AvoidedHosts() (n int) {
 	for _, h := range b.table.byID { // in any order: it is a sum
-		if h.State == Draining || h.State == Ready && h.whole.open {
+		if h.State == HostDraining || h.State == HostReady && h.whole.open {
 			n++
 		}
 	}
@@ -576,22 +580,22 @@
 // close gives back what is idle to a host that drains or is gone, where that is a rule: on being told, and
 // as a hop or probe ends there, so that no time has to be kept.
 func (b *Balancer) close(h Host) {
-	if b.drains.Closes && h.State != Ready {
-		b.out.Release(h.ID)
+	if b.drains.CloseIdleConnections && h.State != HostReady {
+		b.out.CloseIdleConnections(h.ID)
 	}
 }
 
 // spread is a time by chance for a call of the list: in step all would be late together.
 func (b *Balancer) spread(usual time.Duration) time.Duration {
-	all := min(max(usual, time.Duration(b.place.Gateways)*askEach), b.from.AskWithin/2)
+	all := min(max(usual, time.Duration(b.place.GatewayCount)*askEach), b.from.MaxListPollInterval/2)
 	return time.Duration(b.chance.draw() * float64(all))
 }
 
-func (b *Balancer) Probed(now time.Duration, id HostID, l Load) {
+func (b *Balancer) ProbeEnded(now time.Duration, id HostID, l LoadReport) {
 	b.turn(now)
 	switch h := b.table.byID[id]; {
 	case h == nil:
-	case h.State == Ready:
+	case h.State == HostReady:
 		b.heard(h, l)
 	default:
 		b.close(h.Host)
@@ -613,9 +617,9 @@
 	a.value += max(step, 1/a.n) * (x - a.value)
 }
 
-func (a average) mean() Mean { return Mean{a.value, a.n} }
+func (a average) mean() SmoothedMean { return SmoothedMean{a.value, a.n} }
 
-func (m Mean) average() average { return average{m.Value, m.N} }
+func (m SmoothedMean) average() average { return average{m.Value, m.N} }
 
 // dueTimes are kept in order; of equal ones the first added comes first.
 type dueTimes struct {
@@ -663,7 +667,7 @@
 	b.due.arm(b.now, b.out.SetTimer)
 }
 
-func (b *Balancer) Timer(now time.Duration) {
+func (b *Balancer) TimerFired(now time.Duration) {
 	b.turn(now)
 	for do := b.due.next(now); do != nil; do = b.due.next(now) {
 		do()
@@ -702,7 +706,7 @@
 	ranks   uint32   // seed of the order in which this gateway takes hosts
 }
 
-func (t *table) addGroups(p Place) {
+func (t *table) addGroups(p Topology) {
 	zones := p.Zones
 	if len(zones) == 0 {
 		zones = []string{p.Zone}
@@ -719,7 +723,7 @@
 
 // readyHost is nil where a host is not known or not ready.
 func (t *table) readyHost(id HostID) *host {
-	if h := t.byID[id]; h != nil && h.State == Ready {
+	if h := t.byID[id]; h != nil && h.State == HostReady {
 		return h
 	}
 	return nil
@@ -781,20 +785,20 @@
 
 // merge takes a list in and returns the hosts that are new or have started again.
 func (t *table) merge(kind ListKind, hosts []Host, leaves func(*host) bool) (fresh []*host) {
-	if kind != Cached {
+	if kind != ListCached {
 		t.lost = 0
 	}
-	moved := kind != Changes // whether any comes, goes or begins anew: else only sizes have changed
+	moved := kind != ListChanges // whether any comes, goes or begins anew: else only sizes have changed
 	if moved {
 		for _, h := range t.byID { // in any order: each is its own
-			h.State = either(leaves(h), Gone, h.State)
+			h.State = either(leaves(h), HostGone, h.State)
 		}
 	}
 	for i := range hosts {
 		entry := &hosts[i]
 		h := t.byID[entry.ID]
 		moved = moved || h == nil || entry.State != h.State || entry.Zone != h.Zone
-		if h == nil || entry.State == Ready && h.Started != entry.Started {
+		if h == nil || entry.State == HostReady && h.StartedAt != entry.StartedAt {
 			if h == nil {
 				h = &host{rank: t.rank(entry.ID)}
 				t.byID[entry.ID] = h
@@ -807,12 +811,12 @@
 				t.models[entry.Kind] = h.model
 			}
 		}
-		if entry.State == Gone && !leaves(h) {
+		if entry.State == HostGone && !leaves(h) {
 			continue
 		}
 		h.Host = *entry
-		h.model.size = max(h.model.size, entry.Size)
-		t.largest = max(t.largest, entry.Size)
+		h.model.size = max(h.model.size, entry.CapacityHint)
+		t.largest = max(t.largest, entry.CapacityHint)
 	}
 	if moved {
 		t.arrange()
@@ -823,8 +827,8 @@
 // holds takes in what hosts hold for each core, by the sizes that a list gives, and tells the mean over all.
 func (t *table) holds(listed []Host) (all average) {
 	for i := range listed {
-		if h := t.readyHost(listed[i].ID); h != nil && listed[i].Size > 0 {
-			h.rest = h.model.size/listed[i].Size - 1
+		if h := t.readyHost(listed[i].ID); h != nil && listed[i].CapacityHint > 0 {
+			h.rest = h.model.size/listed[i].CapacityHint - 1
 		}
 	}
 	for _, m := range t.models { // in any order: each is its own
@@ -864,15 +868,15 @@
 		h := t.byID[id]
 		i := slices.IndexFunc(t.groups, func(g *group) bool { return g.zone == h.Zone })
 		if i < 0 {
-			h.State = Gone // in no zone that is known
+			h.State = HostGone // in no zone that is known
 		}
-		if h.State == Ready {
+		if h.State == HostReady {
 			h.group = t.groups[i]
 			t.ready, h.group.hosts = append(t.ready, h), append(h.group.hosts, h)
-			if h.Started > 0 {
+			if h.StartedAt > 0 {
 				t.young = append(t.young, h)
 			}
-		} else if h.State == Gone && h.own == 0 {
+		} else if h.State == HostGone && h.own == 0 {
 			delete(t.byID, id)
 		}
 	}
@@ -948,7 +952,7 @@
 	rank    float64        // its place in the order in which this gateway takes hosts
 	used    time.Duration  // when a hop last went there, 0 once its connections are given back
 	unmade  time.Duration  // until when no new connection is tried, as one could not be made
-	ends    []Held         // how own hops ended, not yet told
+	ends    []PeerEntry    // how own hops ended, not yet told
 	health
 	sent []time.Duration // hops within the last TipAfter while cold
 }
@@ -978,14 +982,14 @@
 func (h *host) breakers(profile int) []*breaker { return []*breaker{&h.whole, &h.by[profile]} }
 
 // report takes in what a host says of its load.
-func (h *host) report(l Load, now time.Duration) {
-	if l.Busy >= 0 {
-		h.busy, h.busyAt = l.Busy, now
+func (h *host) report(l LoadReport, now time.Duration) {
+	if l.Utilization >= 0 {
+		h.busy, h.busyAt = l.Utilization, now
 	}
-	if p := &h.model.places; l.Waiting > 0 && l.Held > 0 {
-		p.add(max(1, l.Held-l.Waiting), paceStep)
-	} else if l.Waiting == 0 {
-		p.value = max(p.value, l.Held)
+	if p := &h.model.places; l.Queued > 0 && l.InFlight > 0 {
+		p.add(max(1, l.InFlight-l.Queued), paceStep)
+	} else if l.Queued == 0 {
+		p.value = max(p.value, l.InFlight)
 	}
 }
 
@@ -995,16 +999,16 @@
 // tells takes in what others have out at the host, and what its like hold as their cores fill. That only while the load is
 // calm: utilisation is of a time, what is held of its end, and as a day began the knee came out at three to six times its
 // value, so that hosts were buried in the first second.
-func (h *host) tells(l Load, calm bool, now time.Duration) {
-	h.rest, h.restAt = max(0, l.Held-float64(h.own)), now
+func (h *host) tells(l LoadReport, calm bool, now time.Duration) {
+	h.rest, h.restAt = max(0, l.InFlight-float64(h.own)), now
 	m := h.model
 	if m.held.n == 0 {
 		m.held, m.busy = average{kneeFirst / 2, kneePrior}, average{0.5, kneePrior}
 	}
-	if l.Busy > 0 && l.Held >= 1 {
-		if m.usual.add(l.Held, workStep); l.Held <= m.usual.value && l.Busy < kneeBusy && calm {
-			m.held.add(l.Held, workStep)
-			m.busy.add(l.Busy, workStep)
+	if l.Utilization > 0 && l.InFlight >= 1 {
+		if m.usual.add(l.InFlight, workStep); l.InFlight <= m.usual.value && l.Utilization < kneeBusy && calm {
+			m.held.add(l.InFlight, workStep)
+			m.busy.add(l.Utilization, workStep)
 		}
 	}
 }
@@ -1039,9 +1043,9 @@
 		}
 		switch {
 		case usual.n == 0: // or what is never answered would yield to nothing, and all others to it
-		case usual.n*step < 1 && !b.from.Tells && (seldom || usual.value >= b.free[i]): // begun in a jam?
-			b.free[i] = min(usual.value, firstGuess*float64(b.profiles[i].Goal))
-		case b.from.Tells || usual.value < b.free[i]:
+		case usual.n*step < 1 && !b.from.PeersShareInFlight && (seldom || usual.value >= b.free[i]): // begun in a jam?
+			b.free[i] = min(usual.value, firstGuess*float64(b.profiles[i].ServiceGoal))
+		case b.from.PeersShareInFlight || usual.value < b.free[i]:
 			b.free[i] = usual.value
 		}
 	}
@@ -1113,7 +1117,7 @@
 }
 
 func (b *Balancer) isCold(h *host) bool {
-	return h.Started > 0 && b.now-h.Started < b.cold.WarmUp+b.cold.StartOff
+	return h.StartedAt > 0 && b.now-h.StartedAt < b.cold.WarmUpDuration+b.cold.StartTimeTolerance
 }
 
 // sentSince is how many hops were sent to it since then, as it was cold.
@@ -1140,10 +1144,10 @@
 }
 
 // news is what is to be told of the hosts of a group.
-func news(untold []*host, g *group) (held []Held) {
+func news(untold []*host, g *group) (held []PeerEntry) {
 	for _, h := range untold {
 		if h.group == g {
-			held = append(append(held, h.ends...), Held{Host: h.ID, Hops: h.own})
+			held = append(append(held, h.ends...), PeerEntry{Host: h.ID, InFlight: h.own})
 			h.again = h.again || h.said != h.own
 			h.said, h.unsaid, h.ends = h.own, false, nil
 		}
@@ -1317,7 +1321,7 @@
 	idle time.Duration // for which its connection had stood unused, where that matters
 	load float64       // hops at the host when it was sent, itself included
 	over bool
-	end  End
+	end  HopOutcome
 	then func() // what comes next where the hop has not answered
 }
 
@@ -1345,7 +1349,7 @@
 // errors is how many hosts have answered it with an error.
 func (t *tx) errors() (n int) {
 	for i := range t.hops {
-		if t.hops[i].over && t.hops[i].end == Error {
+		if t.hops[i].over && t.hops[i].end == HopError {
 			n++
 		}
 	}
