--- a/cmd/spanmux/main.go
+++ b/cmd/spanmux/main.go
@@ -104,7 +104,7 @@
 	}
 	debug.SetGCPercent(heapGrowth)
 
-	if err := given.Check(t.Settings, len(t.Peers)); err != nil {
+	if err := given.CheckSettings(t.Settings, len(t.Peers)); err != nil {
 		return err
 	}
 	desk, err := routing.NewDispatcher(t.Settings)
@@ -168,12 +168,12 @@
 func reload(path string, inForce []byte, desk *routing.Dispatcher) []byte {
 	t, text, err := read(path)
 	if err == nil {
-		err = given.Complete(inForce, text, "known")
+		err = given.CheckComplete(inForce, text, "known")
 	}
 	if err == nil {
-		err = given.Address("discovery", t.Discovery)
+		err = given.CheckAddress("discovery", t.Discovery)
 	}
-	var to *given.Retuning
+	var to *given.SettingsUpdate
 	if err == nil {
 		to, err = desk.CheckSettings(t.Settings, len(t.Peers))
 	}
--- a/internal/given/held.go
+++ b/internal/given/held.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	heldBytes   = 10  // a host's id, hops, what is told and an end, a profile, a time
-	MostBytes   = 256 // what one message may hold
-	tookUnit    = 100 * time.Microsecond
-	maxToldHops = 1<<10 - 1 // at one host: of a thousand gateways each may have one out there
+	heldBytes           = 10  // a host's id, hops, what is told and an end, a profile, a time
+	MaxPeerMessageBytes = 256 // what one message may hold
+	tookUnit            = 100 * time.Microsecond
+	maxToldHops         = 1<<10 - 1 // at one host: of a thousand gateways each may have one out there
 )
 
-// Messages is what a gateway tells another, in as many messages as it needs. Profiles are named by a checksum of their names:
+// EncodePeerMessages is what a gateway tells another, in as many messages as it needs. Profiles are named by a checksum of their names:
 // gateways are told new settings one after the other, and a place may mean another profile at each.
-func (o *Opened) Messages(held []logic.PeerEntry) iter.Seq[[]byte] {
+func (o *Instance) EncodePeerMessages(held []logic.PeerEntry) iter.Seq[[]byte] {
 	return func(yield func([]byte) bool) {
-		for part := range slices.Chunk(held, MostBytes/heldBytes) {
+		for part := range slices.Chunk(held, MaxPeerMessageBytes/heldBytes) {
 			if !yield(o.message(part)) {
 				return
 			}
@@ -32,8 +32,8 @@
 
 // message writes one message. The sixth byte of an entry holds the kind and the end in three bits each; the two bits left over are the
 // high ones of the hops, which were always 0 while hops were told up to 255 only.
-func (o *Opened) message(held []logic.PeerEntry) []byte {
-	msg := make([]byte, 0, MostBytes)
+func (o *Instance) message(held []logic.PeerEntry) []byte {
+	msg := make([]byte, 0, MaxPeerMessageBytes)
 	for _, k := range held {
 		mark := uint16(0)
 		if k.Kind != logic.EntryInFlight && k.Profile < len(o.known) {
@@ -50,8 +50,8 @@
 
 func markOf(name string) uint16 { return uint16(crc32.ChecksumIEEE([]byte(name))) }
 
-// Held reads a message. What it says of a profile that is not known here is left out.
-func (o *Opened) Held(msg []byte) ([]logic.PeerEntry, error) {
+// DecodePeerMessage reads a message. What it says of a profile that is not known here is left out.
+func (o *Instance) DecodePeerMessage(msg []byte) ([]logic.PeerEntry, error) {
 	if len(msg)%heldBytes != 0 {
 		return nil, fmt.Errorf("%d bytes are no whole number of hosts", len(msg))
 	}
--- a/internal/given/opening.go
+++ b/internal/given/opening.go
@@ -92,29 +92,29 @@
 
 func micros(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 
-// Opened is a gateway's decisions with what a protocol must know to call them. Profiles and Tenants hold the
+// Instance is a gateway's decisions with what a protocol must know to call them. Profiles and Tenants hold the
 // places by which the module knows them; retune.go says how these change.
-type Opened struct {
+type Instance struct {
 	logic.Core
-	Gateways, Me      int // how many there are, and which this one is
-	WarmKeys          bool
-	Profiles, Tenants map[string]int
-	Longest           time.Duration // the longest hard limit
-	ConnIdle          time.Duration // after which hosts close an idle connection
-	ConnectWithin     time.Duration // a connection not up by then is given up
-	Pushed            bool          // changes of the list come by themselves, and count as told whether or not they are heard
-	Grace             time.Duration // for what is sent to a host that drains or is gone
-	ask               time.Duration
-	place             logic.Topology
-	own               bool // of the shape with a gateway for each client process
-	known             []logic.Profile
-	late              []time.Duration // by place, of those not in force: until when what comes for them is served
-	marked            map[uint16]int  // profiles as gateways name them to each other
-	start             func(out logic.Executor, now time.Duration, seed uint64, beside time.Duration) logic.Core
+	GatewayCount, GatewayIndex    int // how many there are, and which this one is
+	KeyAffinity                   bool
+	ProfileIndexes, TenantIndexes map[string]int
+	MaxHardLimit                  time.Duration // the longest hard limit
+	IdleConnTimeout               time.Duration // after which hosts close an idle connection
+	ConnectTimeout                time.Duration // a connection not up by then is given up
+	HostListPushed                bool          // changes of the list come by themselves, and count as told whether or not they are heard
+	DrainGrace                    time.Duration // for what is sent to a host that drains or is gone
+	ask                           time.Duration
+	place                         logic.Topology
+	own                           bool // of the shape with a gateway for each client process
+	known                         []logic.Profile
+	late                          []time.Duration // by place, of those not in force: until when what comes for them is served
+	marked                        map[uint16]int  // profiles as gateways name them to each other
+	start                         func(out logic.Executor, now time.Duration, seed uint64, beside time.Duration) logic.Core
 }
 
 // Start starts the decisions; until beside the process that these replace may still be at work.
-func (o *Opened) Start(out logic.Executor, now time.Duration, seed uint64, beside time.Duration) {
+func (o *Instance) Start(out logic.Executor, now time.Duration, seed uint64, beside time.Duration) {
 	o.Core = o.start(out, now, seed, beside)
 }
 
@@ -223,9 +223,9 @@
 	return r, nil
 }
 
-// Read reads the settings in text. Where these say that changes of the list come by themselves, ask is how long a
+// Parse reads the settings in text. Where these say that changes of the list come by themselves, ask is how long a
 // gateway may go without asking all the same: on sockets somebody must ask, or no change would ever come.
-func Read(text []byte, ask time.Duration) (*Opened, error) {
+func Parse(text []byte, ask time.Duration) (*Instance, error) {
 	var o opening
 	if err := json.Unmarshal(text, &o); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -234,8 +234,8 @@
 	if err != nil {
 		return nil, err
 	}
-	in := &Opened{Gateways: o.Balancers, Me: o.Me, WarmKeys: o.Specifics.WarmKeys, ask: ask, own: o.ofItsOwn(),
-		ConnIdle: micros(o.Limits.ConnIdle), ConnectWithin: micros(o.Limits.ConnectTimeout),
+	in := &Instance{GatewayCount: o.Balancers, GatewayIndex: o.Me, KeyAffinity: o.Specifics.WarmKeys, ask: ask, own: o.ofItsOwn(),
+		IdleConnTimeout: micros(o.Limits.ConnIdle), ConnectTimeout: micros(o.Limits.ConnectTimeout),
 		place: logic.Topology{GatewayCount: o.Balancers, GatewayIndex: o.Me, Zone: o.MyZone, Zones: o.Zones}}
 	in.inForce(0, &r)
 	in.start = func(out logic.Executor, now time.Duration, seed uint64, beside time.Duration) logic.Core {
--- a/internal/given/retune.go
+++ b/internal/given/retune.go
@@ -19,12 +19,12 @@
 	ninesMost   = 20                      // tenfold steps: no share is that small
 )
 
-// Retuning is settings that were checked whole and are not in force yet.
-type Retuning struct{ rules rules }
+// SettingsUpdate is settings that were checked whole and are not in force yet.
+type SettingsUpdate struct{ rules rules }
 
-// Complete tells whether a text holds every key of the one in force, those left out by name aside. What is missing was more likely
+// CheckComplete tells whether a text holds every key of the one in force, those left out by name aside. What is missing was more likely
 // lost on the way than meant.
-func Complete(inForce, text []byte, but ...string) error {
+func CheckComplete(inForce, text []byte, but ...string) error {
 	var was, is any
 	if err := json.Unmarshal(text, &is); err != nil {
 		return err
@@ -98,8 +98,8 @@
 	return keys
 }
 
-// Address checks an address to call.
-func Address(key, addr string) error {
+// CheckAddress checks an address to call.
+func CheckAddress(key, addr string) error {
 	_, port, err := net.SplitHostPort(addr)
 	if err == nil && port == "" {
 		err = fmt.Errorf("no port in %q", addr)
@@ -110,9 +110,9 @@
 	return nil
 }
 
-// Retuned reads settings that are to follow those in force, and checks them whole; it changes nothing.
-func (o *Opened) Retuned(text []byte, peers int) (*Retuning, error) {
-	if err := Check(text, peers); err != nil {
+// ParseUpdate reads settings that are to follow those in force, and checks them whole; it changes nothing.
+func (o *Instance) ParseUpdate(text []byte, peers int) (*SettingsUpdate, error) {
+	if err := CheckSettings(text, peers); err != nil {
 		return nil, err
 	}
 	var to opening
@@ -160,11 +160,11 @@
 	if len(o.known)+len(r.profiles) > placesMost {
 		return nil, fmt.Errorf("settings: profiles: %d known since the start: restart", len(o.known))
 	}
-	return &Retuning{r}, nil
+	return &SettingsUpdate{r}, nil
 }
 
-// Retune takes settings into force.
-func (o *Opened) Retune(now time.Duration, to *Retuning) {
+// ApplyUpdate takes settings into force.
+func (o *Instance) ApplyUpdate(now time.Duration, to *SettingsUpdate) {
 	r := &to.rules
 	o.inForce(now, r)
 	o.Core.Reconfigure(now, o.known, r.tenants, r.cold, r.drains, r.hops, r.from, r.price)
@@ -172,7 +172,7 @@
 
 // inForce gives places to profiles. One never comes to mean another name or effect: open transactions, and what was learnt, go by
 // it.
-func (o *Opened) inForce(now time.Duration, r *rules) {
+func (o *Instance) inForce(now time.Duration, r *rules) {
 	known := slices.Clone(o.known) // what is open goes by the one before
 	late := slices.Clone(o.late)
 	for i := range known {
@@ -181,8 +181,8 @@
 		}
 		known[i].Removed = true
 	}
-	o.Profiles, o.Tenants, o.marked, o.Longest = map[string]int{}, map[string]int{}, map[uint16]int{}, r.longest
-	o.Pushed, o.Grace = r.pushed, r.grace
+	o.ProfileIndexes, o.TenantIndexes, o.marked, o.MaxHardLimit = map[string]int{}, map[string]int{}, map[uint16]int{}, r.longest
+	o.HostListPushed, o.DrainGrace = r.pushed, r.grace
 	for i, p := range known { // those in force win
 		o.marked[markOf(p.Name)] = i
 	}
@@ -193,17 +193,17 @@
 			known, late = append(known, p), append(late, 0)
 		}
 		known[i], late[i] = p, 0
-		o.Profiles[p.Name], o.marked[markOf(p.Name)] = i, i
+		o.ProfileIndexes[p.Name], o.marked[markOf(p.Name)] = i, i
 	}
 	for i, t := range r.tenants {
-		o.Tenants[t.Name] = i
+		o.TenantIndexes[t.Name] = i
 	}
 	o.known, o.late = known, late
 }
 
-// Place is a profile's for what comes with an effect, -1 where the profile has another; known tells whether there is one of
+// FindProfile is a profile's for what comes with an effect, -1 where the profile has another; known tells whether there is one of
 // that name. What was in force a moment ago is.
-func (o *Opened) Place(now time.Duration, name string, effect logic.Effect) (place int, known bool) {
+func (o *Instance) FindProfile(now time.Duration, name string, effect logic.Effect) (place int, known bool) {
 	for i := range o.known {
 		if (o.late[i] == 0 || now < o.late[i]) && o.known[i].Name == name {
 			if known = true; o.known[i].Effect == effect {
--- a/internal/given/shape.go
+++ b/internal/given/shape.go
@@ -17,10 +17,10 @@
 // vias are the ways in which hosts report their load; settings without the key have none.
 var vias = []string{"answers", "probe", "none", ""}
 
-// Check refuses settings that no deployment can mean, or that contradict each other, and names the key. peers are the other
+// CheckSettings refuses settings that no deployment can mean, or that contradict each other, and names the key. peers are the other
 // gateways' addresses as the program is told them: one that may not tell has none. Each setting is taken by itself: pools may price
 // connections and count nines, and gateways may tell each other where second copies are barred.
-func Check(text []byte, peers int) error {
+func CheckSettings(text []byte, peers int) error {
 	var o opening
 	if err := json.Unmarshal(text, &o); err != nil {
 		return fmt.Errorf("settings: %w", err)
--- a/internal/must/must.go
+++ b/internal/must/must.go
@@ -6,18 +6,18 @@
 	"sync/atomic"
 )
 
-// Broken counts what did not hold.
-var Broken atomic.Int64
+// Violations counts what did not hold.
+var Violations atomic.Int64
 
-// Hold takes note if something that must hold does not.
-func Hold(ok bool, what string) {
+// Check takes note if something that must hold does not.
+func Check(ok bool, what string) {
 	if ok {
 		return
 	}
 	if asserting {
 		panic("must hold: " + what)
 	}
-	if Broken.Add(1) <= 100 { // enough to find the cause, too few to fill a disk
+	if Violations.Add(1) <= 100 { // enough to find the cause, too few to fill a disk
 		slog.Error("must hold", "what", what)
 	}
 }
--- a/internal/routing/admit.go
+++ b/internal/routing/admit.go
@@ -14,7 +14,7 @@
 func (d *Dispatcher) admit(t *tx) bool {
 	d.mu.Lock()
 	t.tally = d.tallies[t.said.Profile]
-	place, known := d.opened.Place(d.now(), t.said.Profile, t.said.Effect)
+	place, known := d.opened.FindProfile(d.now(), t.said.Profile, t.said.Effect)
 	d.mu.Unlock()
 	wrong := ""
 	switch {
@@ -55,10 +55,10 @@
 // arrival is a transaction as the module takes it; under the lock, as tenants may change.
 func (d *Dispatcher) arrival(said *protocol.Transaction, profile int, budget time.Duration) logic.Arrival {
 	a := logic.Arrival{ProfileIndex: profile, TenantIndex: -1, Budget: budget, BodyPending: said.RemainingBody != nil}
-	if d.opened.WarmKeys && len(said.Object) > 0 {
+	if d.opened.KeyAffinity && len(said.Object) > 0 {
 		a.AffinityKey = crc32.ChecksumIEEE(said.Object) | 1
 	}
-	if tenant, ok := d.opened.Tenants[said.Tenant]; ok {
+	if tenant, ok := d.opened.TenantIndexes[said.Tenant]; ok {
 		a.TenantIndex = tenant
 	}
 	return a
--- a/internal/routing/book.go
+++ b/internal/routing/book.go
@@ -55,7 +55,7 @@
 
 // named sees to it that each profile has a tally; one that is dropped keeps its own. Under the lock, once others may call.
 func (d *Dispatcher) named() {
-	for name := range d.opened.Profiles { // in any order: each gets its own
+	for name := range d.opened.ProfileIndexes { // in any order: each gets its own
 		if d.tallies[name] == nil {
 			d.tallies[name] = &tally{}
 		}
@@ -85,7 +85,7 @@
 	shown.Discovered, shown.Ejected = len(d.list.addr), d.opened.AvoidedHosts()
 	d.mu.Unlock()
 	text, err := json.Marshal(shown)
-	must.Hold(err == nil, "figures can be written")
+	must.Check(err == nil, "figures can be written")
 	return text
 }
 
@@ -134,7 +134,7 @@
 		{"clients_accepted", &d.listener.Accepted}, {"clients_crowded", &d.listener.AcceptedOverLimit},
 		{"clients_gave_way", &d.listener.Evicted},
 		{"clients_broke", &b.ClientReadErrors}, {"hosts_connections", &d.pool.Opened},
-		{"hosts_connections_gave_way", &d.pool.Evicted}, {"must_broken", &must.Broken},
+		{"hosts_connections_gave_way", &d.pool.Evicted}, {"must_broken", &must.Violations},
 	} {
 		fmt.Fprintf(&s, "spanmux_%s %d\n", c.name, c.n.Load())
 	}
--- a/internal/routing/relay.go
+++ b/internal/routing/relay.go
@@ -91,7 +91,7 @@
 
 // answer is a transaction's one final answer. It is written outside the lock, by whoever has it.
 func (d *Dispatcher) answer(t *tx, count *count, status int, form func(closing bool) net.Buffers) {
-	must.Hold(t != nil && !t.answered, "one final answer")
+	must.Check(t != nil && !t.answered, "one final answer")
 	if t == nil || t.answered {
 		return
 	}
--- a/internal/routing/tell.go
+++ b/internal/routing/tell.go
@@ -33,8 +33,8 @@
 	}
 	d.Counters.PickRequests.Add(kinds(held, logic.EntryPickRequest))
 	socket := d.tells.socket
-	for msg := range d.opened.Messages(held) {
-		must.Hold(len(msg) <= given.MostBytes, "a datagram within its bound")
+	for msg := range d.opened.EncodePeerMessages(held) {
+		must.Check(len(msg) <= given.MaxPeerMessageBytes, "a datagram within its bound")
 		for _, at := range to {
 			d.Counters.PeerMessages.Add(1)
 			d.then(func() { d.sendTell(socket, at, msg) })
@@ -67,11 +67,11 @@
 	from, known := d.tells.number[addr]
 	var held []logic.PeerEntry
 	var err error
-	if known && len(msg) <= given.MostBytes {
-		held, err = d.opened.Held(msg)
+	if known && len(msg) <= given.MaxPeerMessageBytes {
+		held, err = d.opened.DecodePeerMessage(msg)
 	}
 	d.mu.Unlock()
-	if !known || err != nil || len(msg) > given.MostBytes {
+	if !known || err != nil || len(msg) > given.MaxPeerMessageBytes {
 		d.Counters.PeerMessagesInvalid.Add(1)
 		if d.Counters.lines.allows() {
 			slog.Warn("datagram dropped", "from", addr, "known", known, "bytes", len(msg), "error", err)
--- a/internal/routing/watch.go
+++ b/internal/routing/watch.go
@@ -157,7 +157,7 @@
 func (d *Dispatcher) lost(line *transport.DiscoveryConn, err error, out time.Duration) (over bool) {
 	pause := time.Duration(0)
 	d.decide(func(now time.Duration) {
-		if over = d.list.line != line || !d.opened.Pushed; d.list.line == line {
+		if over = d.list.line != line || !d.opened.HostListPushed; d.list.line == line {
 			d.list.watching = !over
 			d.Counters.ListCallsFailed.Add(1)
 			if d.Counters.lines.allows() {
@@ -171,7 +171,7 @@
 				d.opened.HostListReceived(now, logic.ListFailed, nil)
 			}
 		}
-		pause = max(d.opened.Grace/gracePart, hurry)
+		pause = max(d.opened.DrainGrace/gracePart, hurry)
 	})
 	if !over {
 		time.Sleep(pause)
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -352,7 +352,7 @@
 		c.dead = true
 		return false
 	}
-	must.Hold(c.out == nil, "one exchange a connection")
+	must.Check(c.out == nil, "one exchange a connection")
 	c.out, c.whole, x.c = x, false, c
 	c.conn.SetDeadline(x.Deadline)
 	if !x.stopBy(func() { c.conn.Close() }) || x.StreamBody == nil && !x.begin() {
--- a/tools/scale/fleet.go
+++ b/tools/scale/fleet.go
@@ -24,7 +24,7 @@
 	seq                      int
 	due                      dueEvents
 	members                  []*member
-	codec                    *given.Opened
+	codec                    *given.Instance
 	counting                 bool
 	taken, committed, probes int
 	err                      error
@@ -104,7 +104,7 @@
 }
 
 func (m *member) SendPeerMessage(to int, held []logic.PeerEntry) {
-	for msg := range m.f.codec.Messages(held) {
+	for msg := range m.f.codec.EncodePeerMessages(held) {
 		for i, other := range m.f.members {
 			if i != m.me && (to < 0 || i == to) {
 				m.pass(other, msg)
@@ -120,7 +120,7 @@
 		to.got, to.gotBytes = to.got+1, to.gotBytes+len(msg)
 	}
 	m.f.in(onWay, func() {
-		held, err := m.f.codec.Held(msg)
+		held, err := m.f.codec.DecodePeerMessage(msg)
 		if err != nil {
 			m.f.err = err
 			return
--- a/tools/scale/gateway.go
+++ b/tools/scale/gateway.go
@@ -163,6 +163,6 @@
 }
 
 // opened is what reads and writes messages between gateways.
-func opened(gateways int) (*given.Opened, error) {
-	return given.Read(settings(gateways, usualProfiles, 0), 10*time.Second)
+func opened(gateways int) (*given.Instance, error) {
+	return given.Parse(settings(gateways, usualProfiles, 0), 10*time.Second)
 }
