--- a/cmd/spanmux/main.go
+++ b/cmd/spanmux/main.go
@@ -19,8 +19,8 @@
 	"strconv"
 	"syscall"
 
+	"spanmux/internal/config"
 	"spanmux/internal/control"
-	"spanmux/internal/given"
 	"spanmux/internal/protocol"
 	"spanmux/internal/routing"
 	"spanmux/internal/transport"
@@ -104,7 +104,7 @@
 	}
 	debug.SetGCPercent(heapGrowth)
 
-	if err := given.CheckSettings(t.Settings, len(t.Peers)); err != nil {
+	if err := config.CheckSettings(t.Settings, len(t.Peers)); err != nil {
 		return err
 	}
 	desk, err := routing.NewDispatcher(t.Settings)
@@ -168,12 +168,12 @@
 func reload(path string, inForce []byte, desk *routing.Dispatcher) []byte {
 	t, text, err := read(path)
 	if err == nil {
-		err = given.CheckComplete(inForce, text, "known")
+		err = config.CheckComplete(inForce, text, "known")
 	}
 	if err == nil {
-		err = given.CheckAddress("discovery", t.Discovery)
+		err = config.CheckAddress("discovery", t.Discovery)
 	}
-	var to *given.SettingsUpdate
+	var to *config.SettingsUpdate
 	if err == nil {
 		to, err = desk.CheckSettings(t.Settings, len(t.Peers))
 	}
--- a/internal/given/held.go
+++ b/internal/config/held.go
@@ -1,4 +1,4 @@
-package given
+package config
 
 import (
 	"encoding/binary"
--- a/internal/given/opening.go
+++ b/internal/config/opening.go
@@ -1,6 +1,6 @@
 // Package given reads what both programs are given in the same form: the settings at the start, and what other
 // gateways tell.
-package given
+package config
 
 import (
 	"encoding/json"
--- a/internal/must/debug.go
+++ b/internal/invariant/debug.go
@@ -1,5 +1,5 @@
 //go:build debug
 
-package must
+package invariant
 
 const asserting = true
--- a/internal/must/must.go
+++ b/internal/invariant/must.go
@@ -1,5 +1,5 @@
 // Package must holds what has to be true. Builds with the tag debug stop where it is not; others count it.
-package must
+package invariant
 
 import (
 	"log/slog"
--- a/internal/routing/book.go
+++ b/internal/routing/book.go
@@ -8,7 +8,7 @@
 	"sync/atomic"
 	"time"
 
-	"spanmux/internal/must"
+	"spanmux/internal/invariant"
 	"spanmux/logic"
 )
 
@@ -85,7 +85,7 @@
 	shown.Discovered, shown.Ejected = len(d.list.addr), d.opened.AvoidedHosts()
 	d.mu.Unlock()
 	text, err := json.Marshal(shown)
-	must.Check(err == nil, "figures can be written")
+	invariant.Check(err == nil, "figures can be written")
 	return text
 }
 
@@ -134,7 +134,7 @@
 		{"clients_accepted", &d.listener.Accepted}, {"clients_crowded", &d.listener.AcceptedOverLimit},
 		{"clients_gave_way", &d.listener.Evicted},
 		{"clients_broke", &b.ClientReadErrors}, {"hosts_connections", &d.pool.Opened},
-		{"hosts_connections_gave_way", &d.pool.Evicted}, {"must_broken", &must.Violations},
+		{"hosts_connections_gave_way", &d.pool.Evicted}, {"must_broken", &invariant.Violations},
 	} {
 		fmt.Fprintf(&s, "spanmux_%s %d\n", c.name, c.n.Load())
 	}
--- a/internal/routing/handover.go
+++ b/internal/routing/handover.go
@@ -10,7 +10,7 @@
 	"os"
 	"time"
 
-	"spanmux/internal/must"
+	"spanmux/internal/invariant"
 	"spanmux/internal/protocol"
 	"spanmux/internal/transport"
 	"spanmux/logic"
@@ -227,7 +227,7 @@
 // The process before is asked first for what it has learnt: one that begins by guesses rolls back what hosts could do.
 func (d *Dispatcher) ListenForHandover(path string) error {
 	text, err := json.Marshal(note{Asks: true})
-	must.Check(err == nil, "a note can be written")
+	invariant.Check(err == nil, "a note can be written")
 	if said := transport.QueryProcess(path, text); json.Unmarshal(said, &d.learnt.what) == nil {
 		d.learnt.at = time.Now()
 	}
@@ -312,7 +312,7 @@
 	what := d.opened.ExportLearned(d.now())
 	d.mu.Unlock()
 	text, err := json.Marshal(what)
-	must.Check(err == nil, "what was learnt can be written")
+	invariant.Check(err == nil, "what was learnt can be written")
 	return text
 }
 
--- a/internal/routing/relay.go
+++ b/internal/routing/relay.go
@@ -6,7 +6,7 @@
 	"net"
 	"time"
 
-	"spanmux/internal/must"
+	"spanmux/internal/invariant"
 	"spanmux/internal/protocol"
 	"spanmux/internal/transport"
 	"spanmux/logic"
@@ -91,7 +91,7 @@
 
 // answer is a transaction's one final answer. It is written outside the lock, by whoever has it.
 func (d *Dispatcher) answer(t *tx, count *count, status int, form func(closing bool) net.Buffers) {
-	must.Check(t != nil && !t.answered, "one final answer")
+	invariant.Check(t != nil && !t.answered, "one final answer")
 	if t == nil || t.answered {
 		return
 	}
--- a/internal/routing/route.go
+++ b/internal/routing/route.go
@@ -8,8 +8,8 @@
 	"sync/atomic"
 	"time"
 
-	"spanmux/internal/given"
-	"spanmux/internal/must"
+	"spanmux/internal/config"
+	"spanmux/internal/invariant"
 	"spanmux/internal/protocol"
 	"spanmux/internal/transport"
 	"spanmux/logic"
@@ -20,7 +20,7 @@
 	Counters  Counters
 	pool      *transport.Pool
 	listener  *transport.Listener
-	opened    *given.Instance
+	opened    *config.Instance
 	list      listing
 	tells     tells
 	large     atomic.Int64 // bytes left for bodies over the usual size
@@ -85,7 +85,7 @@
 
 // NewDispatcher makes a gateway's desk; settings are the module's.
 func NewDispatcher(settings []byte) (*Dispatcher, error) {
-	opened, err := given.Parse(settings, askWithin)
+	opened, err := config.Parse(settings, askWithin)
 	d := &Dispatcher{opened: opened, txs: map[logic.TxID]*tx{}, open: map[string]bool{}, list: newListing(),
 		tallies: map[string]*tally{}, listed: make(chan struct{}),
 		streams: map[*flow]bool{}}
@@ -101,7 +101,7 @@
 // decide calls the module under the lock and does afterwards, outside it, what the module wants done.
 func (d *Dispatcher) decide(call func(now time.Duration)) {
 	d.mu.Lock()
-	must.Check(!d.within, "the module is not called from within")
+	invariant.Check(!d.within, "the module is not called from within")
 	d.within = true
 	call(d.now())
 	d.within = false
--- a/internal/routing/run.go
+++ b/internal/routing/run.go
@@ -13,7 +13,7 @@
 	"syscall"
 	"time"
 
-	"spanmux/internal/given"
+	"spanmux/internal/config"
 	"spanmux/internal/protocol"
 	"spanmux/internal/transport"
 	"spanmux/logic"
@@ -92,7 +92,7 @@
 	d.mu.Lock()
 	d.tells = t
 	d.mu.Unlock()
-	go t.socket.Serve(given.MaxPeerMessageBytes, d.told)
+	go t.socket.Serve(config.MaxPeerMessageBytes, d.told)
 }
 
 // Start starts the decisions. Discovery is asked at its address; known is the list as it was last had.
@@ -133,14 +133,14 @@
 }
 
 // CheckSettings checks settings that are to follow those in force; it changes nothing.
-func (d *Dispatcher) CheckSettings(settings []byte, peers int) (*given.SettingsUpdate, error) {
+func (d *Dispatcher) CheckSettings(settings []byte, peers int) (*config.SettingsUpdate, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.opened.ParseUpdate(settings, peers)
 }
 
 // ApplySettings takes settings into force, and discovery's address with them.
-func (d *Dispatcher) ApplySettings(to *given.SettingsUpdate, discovery string) {
+func (d *Dispatcher) ApplySettings(to *config.SettingsUpdate, discovery string) {
 	d.decide(func(now time.Duration) {
 		d.opened.ApplyUpdate(now, to)
 		d.named()
--- a/internal/routing/tell.go
+++ b/internal/routing/tell.go
@@ -5,8 +5,8 @@
 	"net/netip"
 	"time"
 
-	"spanmux/internal/given"
-	"spanmux/internal/must"
+	"spanmux/internal/config"
+	"spanmux/internal/invariant"
 	"spanmux/internal/transport"
 	"spanmux/logic"
 )
@@ -34,7 +34,7 @@
 	d.Counters.PickRequests.Add(kinds(held, logic.EntryPickRequest))
 	socket := d.tells.socket
 	for msg := range d.opened.EncodePeerMessages(held) {
-		must.Check(len(msg) <= given.MaxPeerMessageBytes, "a datagram within its bound")
+		invariant.Check(len(msg) <= config.MaxPeerMessageBytes, "a datagram within its bound")
 		for _, at := range to {
 			d.Counters.PeerMessages.Add(1)
 			d.then(func() { d.sendTell(socket, at, msg) })
@@ -67,11 +67,11 @@
 	from, known := d.tells.number[addr]
 	var held []logic.PeerEntry
 	var err error
-	if known && len(msg) <= given.MaxPeerMessageBytes {
+	if known && len(msg) <= config.MaxPeerMessageBytes {
 		held, err = d.opened.DecodePeerMessage(msg)
 	}
 	d.mu.Unlock()
-	if !known || err != nil || len(msg) > given.MaxPeerMessageBytes {
+	if !known || err != nil || len(msg) > config.MaxPeerMessageBytes {
 		d.Counters.PeerMessagesInvalid.Add(1)
 		if d.Counters.lines.allows() {
 			slog.Warn("datagram dropped", "from", addr, "known", known, "bytes", len(msg), "error", err)
--- a/internal/simwire/sender.go
+++ b/internal/simwire/sender.go
@@ -7,13 +7,13 @@
 	"strings"
 	"time"
 
-	"spanmux/internal/given"
+	"spanmux/internal/config"
 	"spanmux/logic"
 )
 
 // sender writes what one instance wants done.
 type sender struct {
-	in  *given.Instance
+	in  *config.Instance
 	w   *bufio.Writer
 	who string
 }
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -13,14 +13,14 @@
 	"strconv"
 	"time"
 
-	"spanmux/internal/given"
+	"spanmux/internal/config"
 	"spanmux/logic"
 )
 
 // Serve reads batches from r and writes one reply for each to w, until the input ends.
 func Serve(r io.Reader, w io.Writer) error {
 	s := &server{in: bufio.NewReaderSize(r, 1<<16), out: bufio.NewWriterSize(w, 1<<16),
-		instances: map[string]*given.Instance{}, names: map[string]string{}}
+		instances: map[string]*config.Instance{}, names: map[string]string{}}
 	for {
 		line, err := s.line()
 		if errors.Is(err, io.EOF) {
@@ -39,7 +39,7 @@
 type server struct {
 	in        *bufio.Reader
 	out       *bufio.Writer
-	instances map[string]*given.Instance
+	instances map[string]*config.Instance
 	now       time.Duration
 	inBatch   bool
 	lines     int
@@ -131,7 +131,7 @@
 
 func (f *fields) span() time.Duration { return time.Duration(f.int()) * time.Microsecond }
 
-func readHeld(in *given.Instance, text []byte) ([]logic.PeerEntry, error) {
+func readHeld(in *config.Instance, text []byte) ([]logic.PeerEntry, error) {
 	if absent(text) {
 		return nil, nil
 	}
@@ -224,7 +224,7 @@
 		if f.err != nil {
 			return f.err
 		}
-		started, err := given.Parse(f.rest, 0)
+		started, err := config.Parse(f.rest, 0)
 		if err != nil {
 			return err
 		}
@@ -240,7 +240,7 @@
 	return s.call(string(name), f, in, string(who))
 }
 
-func (s *server) call(name string, f *fields, in *given.Instance, who string) error {
+func (s *server) call(name string, f *fields, in *config.Instance, who string) error {
 	switch name {
 	case "ingress":
 		id := logic.TxID(f.int())
@@ -319,7 +319,7 @@
 var kinds = map[int64]logic.ListKind{2: logic.ListChanges, 1: logic.ListComplete, 0: logic.ListCached, 4: logic.ListFailed}
 
 // list reads a list with its entries, which stand on lines of their own.
-func (s *server) list(f *fields, in *given.Instance) error {
+func (s *server) list(f *fields, in *config.Instance) error {
 	how := f.int()
 	kind, ok := kinds[how]
 	f.int() // its version: lists come in order
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"spanmux/internal/must"
+	"spanmux/internal/invariant"
 )
 
 // Outcome tells how an exchange ended.
@@ -352,7 +352,7 @@
 		c.dead = true
 		return false
 	}
-	must.Check(c.out == nil, "one exchange a connection")
+	invariant.Check(c.out == nil, "one exchange a connection")
 	c.out, c.whole, x.c = x, false, c
 	c.conn.SetDeadline(x.Deadline)
 	if !x.stopBy(func() { c.conn.Close() }) || x.StreamBody == nil && !x.begin() {
--- a/tools/scale/fleet.go
+++ b/tools/scale/fleet.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"time"
 
-	"spanmux/internal/given"
+	"spanmux/internal/config"
 	"spanmux/logic"
 )
 
@@ -24,7 +24,7 @@
 	seq                      int
 	due                      dueEvents
 	members                  []*member
-	codec                    *given.Instance
+	codec                    *config.Instance
 	counting                 bool
 	taken, committed, probes int
 	err                      error
--- a/tools/scale/gateway.go
+++ b/tools/scale/gateway.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	"spanmux/internal/given"
+	"spanmux/internal/config"
 	"spanmux/internal/protocol"
 	"spanmux/logic"
 )
@@ -163,6 +163,6 @@
 }
 
 // opened is what reads and writes messages between gateways.
-func opened(gateways int) (*given.Instance, error) {
-	return given.Parse(settings(gateways, usualProfiles, 0), 10*time.Second)
+func opened(gateways int) (*config.Instance, error) {
+	return config.Parse(settings(gateways, usualProfiles, 0), 10*time.Second)
 }
