--- a/tools/regress/output.go
+++ b/tools/regress/output.go
@@ -7,16 +7,16 @@
 	"strings"
 )
 
-// reading is what a bench said of one site.
+// reading is what a bench reported about one site.
 type reading struct {
-	Site       string // where it names one
+	Site       string // empty if the bench names none
 	Figure     float64
-	DayScores  []string // each day's own line
-	Violations []string // rules, crashes and gates, as they are worded
-	Gate       string   // "passed", "failed" or nothing where there is none
+	DayScores  []string // name and score of each day
+	Violations []string // broken rules, crashes and failed gates, as the bench words them
+	Gate       string   // "passed", "failed" or empty if there is none
 }
 
-// keySuffix is the ending of the record's key.
+// keySuffix returns the end of the site's key in the record.
 func (r reading) keySuffix() string {
 	if r.Site == "" {
 		return ""
@@ -27,7 +27,7 @@
 var (
 	errNoFigure        = errors.New("no figure in what the bench printed")
 	errDuplicateFigure = errors.New("more than one figure for a site")
-	// what the two benches print: one figure in all, or one for each site
+	// Output of the two kinds of bench: on sockets one figure in all, with the simulator one for each site.
 	realFigurePattern = regexp.MustCompile(`^score of the real nodes (\S+)`)
 	simFigurePattern  = regexp.MustCompile(`^(?:\[\w+\] )?(?:score|quick estimate) on the standard days of (\S+)[^:]*: ([^ ,;]+)`)
 	realDayPattern    = regexp.MustCompile(`^(\S+) +G .* score (\S+)`)
@@ -36,8 +36,8 @@
 	voidScorePattern  = regexp.MustCompile(`score void`)
 )
 
-// parseOutput finds the figures in what a bench printed, one for each site. What it says of a site comes behind that site's figure with the
-// simulator, before it with the real gateways.
+// parseOutput returns a reading for each site in a bench's output. The simulator prints the other lines of a site after its figure, the benches
+// with real gateways before it.
 func parseOutput(output string) ([]reading, error) {
 	var readings []reading
 	var unnamed reading
--- a/tools/regress/panel.go
+++ b/tools/regress/panel.go
@@ -8,16 +8,17 @@
 	"strconv"
 )
 
-// panel is one set of days that is played in one call.
+// panel is a set of simulated days that one call of a bench runs.
 type panel struct {
 	name           string
-	program        string              // below the kit's folder
-	extraArguments []string            // words after the site
-	simulatorSites func(*cli) []string // the simulator's sites that it plays, each with a figure of its own; nil on sockets
-	// seeded ones are played once for each seed; gate and rules count there, and the figure, of another day each time, is only shown.
+	program        string              // path below the folder of the benches
+	extraArguments []string            // arguments after the site
+	simulatorSites func(*cli) []string // sites that the simulator runs, each with its own figure; nil for benches on sockets
+	// A seeded panel runs once for each seed. Only its gate and rules count; the figure differs by seed and is only displayed.
 	seeded bool
 }
 
+// panels lists all panels, in the order in which they run by default.
 var panels = []panel{
 	{name: "service", program: "real/bin/lbreal"},
 	{name: "ops", program: "more/ops/bin/lbreal"},
@@ -28,6 +29,7 @@
 	{name: "more", program: "bin/lbsim", simulatorSites: func(c *cli) []string { return c.MoreSiteFiles }},
 }
 
+// panelNames returns the names of all panels.
 func panelNames() (all []string) {
 	for _, p := range panels {
 		all = append(all, p.name)
@@ -35,7 +37,7 @@
 	return all
 }
 
-// recordKey names a panel's figure in the record.
+// recordKey returns the key of the panel's figure in the record.
 func (p panel) recordKey(quick bool) string {
 	if quick {
 		return p.name + "-quick"
@@ -43,8 +45,10 @@
 	return p.name
 }
 
+// programPath returns the path of the panel's bench.
 func (p panel) programPath(bench string) string { return filepath.Join(bench, p.program) }
 
+// arguments returns the command line of the bench.
 func (p panel) arguments(c *cli, seed int64) []string {
 	arguments := append([]string{"score"}, p.siteFiles(c)...)
 	arguments = append(arguments, p.extraArguments...)
@@ -56,7 +60,7 @@
 	return append(arguments, "--why", c.Description)
 }
 
-// seeds is what a panel is played with, one call each.
+// seeds returns the seeds of a panel, one call each. A panel that isn't seeded has one call.
 func (p panel) seeds(c *cli) []int64 {
 	if p.seeded {
 		return c.Seeds
@@ -64,7 +68,7 @@
 	return []int64{0}
 }
 
-// siteFiles is what a panel plays.
+// siteFiles returns the site files that a panel runs.
 func (p panel) siteFiles(c *cli) []string {
 	if p.simulatorSites != nil {
 		return p.simulatorSites(c)
@@ -72,7 +76,8 @@
 	return []string{c.SiteFile}
 }
 
-// choosePanels is what is to be played. All of it is looked for first: a bench that is missing is better known before an hour of others.
+// choosePanels returns the panels to run. It checks first that all benches and site files exist, so that a missing one is reported before an
+// hour of other panels.
 func (c *cli) choosePanels() ([]panel, error) {
 	if info, err := os.Stat(c.BenchFolder); err != nil || !info.IsDir() {
 		return nil, fmt.Errorf("no folder with benches at %s", c.BenchFolder)
