--- a/internal/transport/client_read.go
+++ b/internal/transport/client_read.go
@@ -39,7 +39,7 @@
 			}
 		}
 		c.Reader = readerPool.Get().(*bufio.Reader)
-		c.Reader.Reset((*pacedReader)(c))
+		c.Reader.Reset((*minRateReader)(c))
 	}
 	if !c.setState(stateReading) { // evicted as its first byte came
 		return net.ErrClosed
@@ -78,14 +78,14 @@
 	return err
 }
 
-// pacedReader reads a client's requests under deadlines that move with what has arrived: beside the time for
+// minRateReader reads a client's requests under deadlines that move with what has arrived: beside the time for
 // the head a body gets a second for each minBodyBytesPerSecond bytes, and may not pause for longer than
 // bodySilenceTimeout.
-type pacedReader Client
+type minRateReader Client
 
 // Read implements io.Reader. It returns os.ErrDeadlineExceeded if the client is too slow or Wake is called,
 // and ErrShuttingDown if the request is rejected as the process ends.
-func (r *pacedReader) Read(b []byte) (int, error) {
+func (r *minRateReader) Read(b []byte) (int, error) {
 	if r.received > 0 && !r.discarding.Load() {
 		deadline := r.readStart.Add(r.readTimeout + time.Duration(r.received)*time.Second/minBodyBytesPerSecond)
 		if r.received > clientReadBufferBytes { // more than a head can be: within a body
@@ -111,7 +111,7 @@
 }
 
 // rejected reports whether the request is rejected as the process ends.
-func (r *pacedReader) rejected() bool {
+func (r *minRateReader) rejected() bool {
 	switch r.listener.rejecting.Load() {
 	case rejectUndispatched:
 		return !r.dispatched
--- a/tools/scale/chart.go
+++ b/tools/scale/chart.go
@@ -92,9 +92,9 @@
 type axisRange struct{ low, high float64 }
 
 // including returns the range extended to a value.
-func (w axisRange) including(v float64) axisRange {
-	if w.high == 0 {
-		return axisRange{v, v}
+func (r axisRange) including(value float64) axisRange {
+	if r.high == 0 {
+		return axisRange{value, value}
 	}
-	return axisRange{min(w.low, v), max(w.high, v)}
+	return axisRange{min(r.low, value), max(r.high, value)}
 }
--- a/tools/scale/dispatcher.go
+++ b/tools/scale/dispatcher.go
@@ -52,24 +52,24 @@
 		case <-r.Context().Done():
 		}
 	})}
-	at, err := net.Listen("tcp", "127.0.0.1:0")
+	discoveryListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		listener.Close()
 		return nil, err
 	}
-	go discovery.Serve(at) // runs until the process ends, as the gateway does: its requests wait here, and a refused one would be retried at once
+	go discovery.Serve(discoveryListener) // runs until the process ends, as the gateway does: its requests wait here, and a refused one would be retried at once
 	defer listener.Close()
 	values = map[string]float64{}
 	values["heap"] = retainedHeapBytes(func() any {
 		start := time.Now()
-		dispatcher.Start(7, at.Addr().String(), knownList)
+		dispatcher.Start(7, discoveryListener.Addr().String(), knownList)
 		values["first"] = time.Since(start).Seconds()
 		return dispatcher
 	})
 	nextRequest := func() (time.Time, error) {
 		select {
-		case at := <-requests:
-			return at, nil
+		case receivedAt := <-requests:
+			return receivedAt, nil
 		case <-time.After(hostChangeTimeout):
 			return time.Time{}, fmt.Errorf("no request for the host list within %v", hostChangeTimeout)
 		case <-ctx.Done():
--- a/tools/scale/gateway.go
+++ b/tools/scale/gateway.go
@@ -111,17 +111,17 @@
 }
 
 // nextTransaction starts a transaction and, if enough are open, commits the oldest.
-func (p *trafficGenerator) nextTransaction() {
-	p.now += time.Second / peakTransactionsPerSecond
-	p.id++
-	hopsBefore := p.hopsSent
-	p.TransactionReceived(p.now, p.id, logic.Arrival{ProfileIndex: 0, TenantIndex: -1, Budget: time.Second})
-	if p.hopsSent > hopsBefore {
-		p.open = append(p.open, p.id)
+func (t *trafficGenerator) nextTransaction() {
+	t.now += time.Second / peakTransactionsPerSecond
+	t.id++
+	hopsBefore := t.hopsSent
+	t.TransactionReceived(t.now, t.id, logic.Arrival{ProfileIndex: 0, TenantIndex: -1, Budget: time.Second})
+	if t.hopsSent > hopsBefore {
+		t.open = append(t.open, t.id)
 	}
-	if len(p.open) > concurrentTransactions {
-		p.HopEnded(p.now, p.open[0], 0, logic.HopResult{Outcome: logic.HopCommitted, Latency: hopLatency, Load: p.load}, true)
-		p.open = append(p.open[:0], p.open[1:]...)
+	if len(t.open) > concurrentTransactions {
+		t.HopEnded(t.now, t.open[0], 0, logic.HopResult{Outcome: logic.HopCommitted, Latency: hopLatency, Load: t.load}, true)
+		t.open = append(t.open[:0], t.open[1:]...)
 	}
 }
 
